--- a/crates/decide/src/capacity.rs
+++ b/crates/decide/src/capacity.rs
@@ -13,21 +13,21 @@
     time::Duration,
 };
 
-/// How far back the meter looks, in slices.
-const SLICES: usize = 300;
+/// How far back the meter looks, in intervals.
+const INTERVALS: usize = 300;
 
-/// The length of one slice. Within it the greatest use counts.
-const SLICE: Duration = Duration::from_secs(1);
+/// The length of one interval. Within it the greatest use counts.
+const INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct UseSlice {
+struct UsageInterval {
     peak: u32,
     refused: u32,
 }
 
 /// One upstream as a piece of capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CapacityUnit {
+pub struct UpstreamCapacity {
     /// What it is lost together with.
     pub domain: DomainName,
     /// Its slots.
@@ -50,86 +50,95 @@
 /// Measures the use of one service's slots over the last minutes.
 #[derive(Debug, Default)]
 pub struct CapacityMeter {
-    slices: VecDeque<UseSlice>,
-    /// When the present slice began.
-    began: Option<Moment>,
+    intervals: VecDeque<UsageInterval>,
+    /// When the present interval began.
+    interval_start: Option<Moment>,
     busy: u32,
 }
 
 impl CapacityMeter {
     /// Opens a meter without history.
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self::default()
     }
 
     /// Notes how many slots are in use from now on.
-    pub fn note_busy(&mut self, busy: u32, now: Moment) {
+    pub fn record_busy(&mut self, busy: u32, now: Moment) {
         self.advance(now);
         self.busy = busy;
-        let present = self.slices.back_mut().expect("advance leaves a slice");
+        let present = self.intervals.back_mut().expect("advance leaves an interval");
         present.peak = present.peak.max(busy);
     }
 
     /// Notes a call refused for want of a slot.
-    pub fn note_refused(&mut self, now: Moment) {
+    pub fn record_refusal(&mut self, now: Moment) {
         self.advance(now);
-        let present = self.slices.back_mut().expect("advance leaves a slice");
+        let present = self.intervals.back_mut().expect("advance leaves an interval");
         present.refused = present.refused.saturating_add(1);
     }
 
     /// Returns the use at the 95th percentile.
     pub fn busy_p95(&self) -> u32 {
-        let mut peaks: Vec<u32> = self.slices.iter().map(|slice| slice.peak).collect();
+        let mut peaks: Vec<u32> = self.intervals.iter().map(|interval| interval.peak).collect();
         peaks.sort_unstable();
         let rank = (peaks.len() * 95).div_ceil(100);
         peaks.get(rank.saturating_sub(1)).copied().unwrap_or(0)
     }
 
     /// Judges the healthy upstreams. `call` is how long a call holds a slot on average.
-    pub fn advise(&self, healthy: &[CapacityUnit], floor: u32, call: Duration) -> CapacityAdvice {
-        let refused: u64 = self.slices.iter().map(|slice| u64::from(slice.refused)).sum();
+    pub fn advise(
+        &self,
+        healthy: &[UpstreamCapacity],
+        floor: u32,
+        call: Duration,
+    ) -> CapacityAdvice {
+        let refused: u64 = self.intervals.iter().map(|interval| u64::from(interval.refused)).sum();
         let busy_p95 = self.busy_p95();
-        let needed = floor.max(busy_p95.saturating_add(self.missing_slots(call)));
-        let whole = self.slices.len() >= SLICES;
+        let needed = floor.max(busy_p95.saturating_add(self.refused_call_slots(call)));
+        let history_is_full = self.intervals.len() >= INTERVALS;
         CapacityAdvice {
             busy_p95,
             refused,
-            switch_on: switch_on(healthy, needed),
-            may_stay_off: if whole && refused == 0 { stay_off(healthy, needed) } else { 0 },
+            switch_on: upstreams_to_switch_on(healthy, needed),
+            may_stay_off: if history_is_full && refused == 0 {
+                upstreams_to_leave_off(healthy, needed)
+            } else {
+                0
+            },
         }
     }
 
-    /// Returns the slots that the refused calls would have held in the worst slice.
-    fn missing_slots(&self, call: Duration) -> u32 {
-        let worst = self.slices.iter().map(|slice| slice.refused).max().unwrap_or(0);
-        let slots = f64::from(worst) * call.as_secs_f64() / SLICE.as_secs_f64();
+    /// Returns the slots that the refused calls would have held in the worst interval.
+    fn refused_call_slots(&self, call: Duration) -> u32 {
+        let worst = self.intervals.iter().map(|interval| interval.refused).max().unwrap_or(0);
+        let slots = f64::from(worst) * call.as_secs_f64() / INTERVAL.as_secs_f64();
         slots.ceil().min(f64::from(u32::MAX)) as u32
     }
 
     fn advance(&mut self, now: Moment) {
-        let began = *self.began.get_or_insert(now);
-        if self.slices.is_empty() {
-            self.slices.push_back(UseSlice::default());
+        let interval_start = *self.interval_start.get_or_insert(now);
+        if self.intervals.is_empty() {
+            self.intervals.push_back(UsageInterval::default());
         }
-        let passed = now.since(began).as_micros() / SLICE.as_micros();
-        let fresh = UseSlice { peak: self.busy, refused: 0 };
-        for _ in 0..passed.min(SLICES as u128) {
-            if self.slices.len() >= SLICES {
-                self.slices.pop_front();
+        let passed = now.since(interval_start).as_micros() / INTERVAL.as_micros();
+        let fresh = UsageInterval { peak: self.busy, refused: 0 };
+        for _ in 0..passed.min(INTERVALS as u128) {
+            if self.intervals.len() >= INTERVALS {
+                self.intervals.pop_front();
             }
-            self.slices.push_back(fresh);
+            self.intervals.push_back(fresh);
         }
         let passed = u32::try_from(passed).unwrap_or(u32::MAX);
-        self.began = Some(began + SLICE * passed);
+        self.interval_start = Some(interval_start + INTERVAL * passed);
     }
 }
 
 /// Slots by failure domain, and what is left when the largest is lost.
 #[derive(Debug, Default)]
-struct DomainSlots<'a>(BTreeMap<&'a DomainName, Vec<u32>>);
+struct SlotsByDomain<'a>(BTreeMap<&'a DomainName, Vec<u32>>);
 
-impl<'a> DomainSlots<'a> {
-    fn of(units: &'a [CapacityUnit]) -> Self {
+impl<'a> SlotsByDomain<'a> {
+    fn from_units(units: &'a [UpstreamCapacity]) -> Self {
         let mut domains = BTreeMap::<_, Vec<u32>>::new();
         for unit in units {
             domains.entry(&unit.domain).or_default().push(unit.slots);
@@ -140,47 +149,47 @@
         Self(domains)
     }
 
-    fn sums(&self) -> impl Iterator<Item = u32> {
+    fn totals(&self) -> impl Iterator<Item = u32> {
         self.0.values().map(|slots| slots.iter().sum())
     }
 
-    fn left_after_loss(&self) -> u32 {
-        let largest = self.sums().max().unwrap_or(0);
-        self.sums().sum::<u32>() - largest
+    fn slots_after_largest_loss(&self) -> u32 {
+        let largest = self.totals().max().unwrap_or(0);
+        self.totals().sum::<u32>() - largest
     }
 
-    fn take_from_largest(&mut self) -> bool {
+    fn remove_from_largest(&mut self) -> bool {
         let largest = self.0.values_mut().max_by_key(|slots| slots.iter().sum::<u32>());
         largest.is_some_and(|slots| slots.pop().is_some())
     }
 }
 
 /// New upstreams are counted with the size of the smallest and into the smallest domain.
-fn switch_on(healthy: &[CapacityUnit], needed: u32) -> u32 {
-    let domains = DomainSlots::of(healthy);
+fn upstreams_to_switch_on(healthy: &[UpstreamCapacity], needed: u32) -> u32 {
+    let domains = SlotsByDomain::from_units(healthy);
     let size = healthy.iter().map(|unit| unit.slots).min().unwrap_or(1).max(1);
-    let mut sums: Vec<u32> = domains.sums().collect();
+    let mut totals: Vec<u32> = domains.totals().collect();
     // A service in one domain cannot outlive it whatever is added there: the next goes elsewhere.
-    if sums.len() < 2 && needed > 0 {
-        sums.resize(2, 0);
+    if totals.len() < 2 && needed > 0 {
+        totals.resize(2, 0);
     }
     let mut added = 0;
     loop {
-        let largest = sums.iter().copied().max().unwrap_or(0);
-        if sums.iter().sum::<u32>() - largest >= needed {
+        let largest = totals.iter().copied().max().unwrap_or(0);
+        if totals.iter().sum::<u32>() - largest >= needed {
             return added;
         }
-        let Some(least) = sums.iter_mut().min() else { return added };
+        let Some(least) = totals.iter_mut().min() else { return added };
         *least += size;
         added += 1;
     }
 }
 
-fn stay_off(healthy: &[CapacityUnit], needed: u32) -> u32 {
-    let mut domains = DomainSlots::of(healthy);
+fn upstreams_to_leave_off(healthy: &[UpstreamCapacity], needed: u32) -> u32 {
+    let mut domains = SlotsByDomain::from_units(healthy);
     let mut off = 0;
-    while domains.take_from_largest() {
-        if domains.left_after_loss() < needed.max(1) {
+    while domains.remove_from_largest() {
+        if domains.slots_after_largest_loss() < needed.max(1) {
             break;
         }
         off += 1;
--- a/crates/decide/src/closed.rs
+++ b/crates/decide/src/closed.rs
@@ -16,10 +16,10 @@
 
 /// The longest rest that is granted. An upstream that asks for more has most likely erred, and asks again
 /// with its next refusal.
-pub const LONGEST_REST: Duration = Duration::from_secs(3_600);
+pub const MAX_REST: Duration = Duration::from_secs(3_600);
 
 /// For how long an upstream that leaves is remembered: longer than any takes to end.
-const LEAVING_KEPT: Duration = Duration::from_secs(3_600);
+const LEAVING_RETENTION: Duration = Duration::from_secs(3_600);
 
 #[derive(Clone, Copy, Debug)]
 struct Closure {
@@ -30,13 +30,13 @@
 
 /// What came of an upstream's words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeardTerms {
+pub enum TermsEffect {
     /// They close it to this VM no longer than it was.
-    Nothing,
+    Unchanged,
     /// It is closed for a time.
-    Rests(Duration),
+    Resting(Duration),
     /// It is closed for the rest of its life.
-    Leaves,
+    Leaving,
 }
 
 /// The upstreams of one service that are closed to one VM.
@@ -46,26 +46,26 @@
 impl ClosedUpstreams {
     /// Takes what a life of an upstream has said to this VM. A shorter rest than one that it asked for before
     /// changes nothing.
-    pub fn hear(
+    pub fn record_terms(
         &mut self,
         upstream: &UpstreamName,
         incarnation: IncarnationNumber,
         stated: &StatedTerms,
         now: Moment,
-    ) -> HeardTerms {
+    ) -> TermsEffect {
         self.0.retain(|_, closure| closure.until > now);
-        let rest = Duration::from_millis(u64::from(stated.rest_ms)).min(LONGEST_REST);
-        let span = if stated.leaving { LEAVING_KEPT } else { rest };
+        let rest = Duration::from_millis(u64::from(stated.rest_ms)).min(MAX_REST);
+        let span = if stated.leaving { LEAVING_RETENTION } else { rest };
         if span.is_zero() {
-            return HeardTerms::Nothing;
+            return TermsEffect::Unchanged;
         }
         let closure = Closure { incarnation, until: now + span, leaving: stated.leaving };
         let known = self.0.get(upstream);
-        if known.is_some_and(|known| known.outlasts(&closure)) {
-            return HeardTerms::Nothing;
+        if known.is_some_and(|known| known.covers(&closure)) {
+            return TermsEffect::Unchanged;
         }
         self.0.insert(upstream.clone(), closure);
-        if stated.leaving { HeardTerms::Leaves } else { HeardTerms::Rests(rest) }
+        if stated.leaving { TermsEffect::Leaving } else { TermsEffect::Resting(rest) }
     }
 
     /// Tells whether a life of an upstream takes no calls from this VM.
@@ -96,7 +96,7 @@
 
 impl Closure {
     /// Tells whether another one, heard later, adds nothing to it.
-    fn outlasts(&self, other: &Self) -> bool {
+    fn covers(&self, other: &Self) -> bool {
         match self.incarnation.cmp(&other.incarnation) {
             std::cmp::Ordering::Greater => true,
             std::cmp::Ordering::Equal => {
--- a/crates/decide/src/placer/closed.rs
+++ b/crates/decide/src/placer/closed.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// When a call should come back at the latest: its next try most likely goes through another VM.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(200);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl ServicePlacer {
     /// Returns for how long an upstream takes no calls from the VM of an ask that came `ago`.
@@ -23,25 +23,26 @@
     }
 
     /// Returns when a call should come back whose VM no upstream takes calls from in useful time.
-    pub(super) fn closed_out(&self, waiting: &WaitingAsk, now: Moment) -> Option<Duration> {
+    pub(super) fn closed_retry_after(&self, waiting: &WaitingAsk, now: Moment) -> Option<Duration> {
         if waiting.ask.closed.is_empty() {
             return None;
         }
         let waited = now.since(waiting.since);
-        let members = self.targets.iter().filter(|(_, target)| target.is_member());
+        let members = self.targets.iter().filter(|(_, target)| target.is_active());
         let closed = members.map(|(target, _)| self.closed_for(&waiting.ask, target, waited));
         let opens = closed.min().filter(|closed| !closed.is_zero())?;
         let useful = waiting.good_start.unwrap_or(waiting.latest_start);
-        (now + opens > useful).then(|| opens.min(COME_BACK_ELSEWHERE))
+        (now + opens > useful).then(|| opens.min(MAX_RETRY_AFTER))
     }
 
     /// Refuses calls in the queue to whose VMs the last upstream in useful time has been lost.
-    pub(super) fn refuse_closed_out(&mut self, now: Moment, actions: &mut Vec<PlacerAction>) {
+    pub(super) fn refuse_closed(&mut self, now: Moment, actions: &mut Vec<PlacerAction>) {
         if !self.queue.any_closed() {
             return;
         }
-        for place in self.queue.matching(|waiting| self.closed_out(waiting, now).is_some()) {
-            let Some(wait) = self.closed_out(self.queue.get(place), now) else { continue };
+        for place in self.queue.matching(|waiting| self.closed_retry_after(waiting, now).is_some())
+        {
+            let Some(wait) = self.closed_retry_after(self.queue.get(place), now) else { continue };
             let waiting = self.queue.remove(place);
             self.refuse(waiting.id, RefusalReason::Saturated, wait, actions);
         }
