--- a/crates/decide/benches/bounds_detect.rs
+++ b/crates/decide/benches/bounds_detect.rs
@@ -1,12 +1,12 @@
 //! How soon a bad upstream is found, and how often a good one is taken for bad.
 //!
-//! Three detectors meet the same drawn traffic: errors in a row at each entry alone, the sequential
+//! Three detectors meet the same drawn traffic: errors in a print_row at each entry alone, the sequential
 //! test at each entry alone, and the placer with the sequential test. Detection time is the time from
 //! the onset of the fault until nine tenths of the upstream's work have stopped; a lone entry stops
 //! only its own.
 //!
 //! `DECIDE_HEALTHY_HOURS=10000` runs the long check for false ejections; without it 6 upstream-hours
-//! are run for each row.
+//! are run for each print_row.
 
 mod traffic;
 
@@ -15,7 +15,7 @@
 use std::{io::Write, process::ExitCode};
 use traffic::{
     HEALTHY, ServiceShape, TrafficRun, UpstreamFault, build,
-    detectors::{FailureDetector, LoneEntries, OnePlacer},
+    detectors::{FailureDetector, IndependentEntries, PlacerDetector},
 };
 
 const GUILD: ServiceShape = ServiceShape { upstreams: 15, slots: 4, entries: 48, rate: 30.0 };
@@ -32,19 +32,19 @@
 ];
 
 /// What is not found by then counts as found then.
-const LIMIT: f64 = 90.0;
+const DETECTION_LIMIT: f64 = 90.0;
 const SEEDS: u64 = 5;
 
-/// Upstream-hours of healthy traffic for each row.
+/// Upstream-hours of healthy traffic for each print_row.
 const HOURS: f64 = 6.0;
 
-/// The aim: sooner than five errors in a row by this factor, at no more false ejections.
-const AIM: f64 = 5.0;
+/// The aim: sooner than five errors in a print_row by this factor, at no more false ejections.
+const MIN_SPEEDUP: f64 = 5.0;
 
 #[derive(Clone, Debug)]
 enum Detector {
-    Row(u32),
-    LoneSequential(ServiceRule),
+    ConsecutiveErrors(u32),
+    EntrySequential(ServiceRule),
     Placer(ServiceRule),
 }
 
@@ -52,20 +52,22 @@
     fn open(&self, shape: &ServiceShape, seed: u64) -> Box<dyn FailureDetector> {
         let (upstreams, entries) = (shape.upstreams, shape.entries);
         match self {
-            Self::Row(limit) => Box::new(LoneEntries::in_a_row(*limit, upstreams, entries)),
-            Self::LoneSequential(rule) => {
-                Box::new(LoneEntries::sequential(rule, upstreams, entries))
+            Self::ConsecutiveErrors(limit) => {
+                Box::new(IndependentEntries::consecutive_errors(*limit, upstreams, entries))
+            }
+            Self::EntrySequential(rule) => {
+                Box::new(IndependentEntries::sequential(rule, upstreams, entries))
             }
             Self::Placer(rule) => {
-                Box::new(OnePlacer::open(rule.clone(), upstreams, shape.slots, seed))
+                Box::new(PlacerDetector::open(rule.clone(), upstreams, shape.slots, seed))
             }
         }
     }
 
     fn name(&self) -> String {
         match self {
-            Self::Row(limit) => format!("each entry, {limit} in a row"),
-            Self::LoneSequential(rule) => format!("each entry, sequential, h={}", threshold(rule)),
+            Self::ConsecutiveErrors(limit) => format!("each entry, {limit} in a print_row"),
+            Self::EntrySequential(rule) => format!("each entry, sequential, h={}", threshold(rule)),
             Self::Placer(rule) => format!("placer, sequential, h={}", threshold(rule)),
         }
     }
@@ -75,7 +77,7 @@
         let times = (0..SEEDS).map(|seed| {
             let mut detector = self.open(shape, seed);
             let mut run = TrafficRun::open(*shape, fault, false, 100 + seed);
-            run.find(detector.as_mut(), LIMIT).unwrap_or(LIMIT)
+            run.find(detector.as_mut(), DETECTION_LIMIT).unwrap_or(DETECTION_LIMIT)
         });
         let mut times: Vec<f64> = times.collect();
         times.sort_by(f64::total_cmp);
@@ -96,7 +98,7 @@
     format!("{:.1}", DetectionThresholds::from_rule(rule).failures)
 }
 
-fn priced(late: u32, false_ejection: u32) -> ServiceRule {
+fn rule_with_prices(late: u32, false_ejection: u32) -> ServiceRule {
     ServiceRule {
         late_detection_price: late,
         false_ejection_price: false_ejection,
@@ -104,54 +106,59 @@
     }
 }
 
-fn say(line: &str) {
+fn print_line(line: &str) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}");
 }
 
-fn header() {
+fn print_header() {
     let faults: Vec<String> = FAULTS.iter().map(|fault| format!("{:>10}", fault.name)).collect();
-    say(&format!("{:<34}{} | false ejections", "detector", faults.join("")));
+    print_line(&format!("{:<34}{} | false ejections", "detector", faults.join("")));
 }
 
-fn shown(seconds: f64) -> String {
-    if seconds >= LIMIT { format!(">{LIMIT:.0} s") } else { format!("{seconds:.2} s") }
+fn format_time(seconds: f64) -> String {
+    if seconds >= DETECTION_LIMIT {
+        format!(">{DETECTION_LIMIT:.0} s")
+    } else {
+        format!("{seconds:.2} s")
+    }
 }
 
-/// Prints a row and returns its detection times and false ejections.
-fn row(detector: &Detector, shape: &ServiceShape, hours: f64) -> (Vec<f64>, f64) {
+/// Prints a print_row and returns its detection times and false ejections.
+fn print_row(detector: &Detector, shape: &ServiceShape, hours: f64) -> (Vec<f64>, f64) {
     let times: Vec<f64> = FAULTS.iter().map(|&fault| detector.detection(shape, fault)).collect();
     let wrong = detector.false_ejections(shape, hours, 7);
-    let cells: Vec<String> = times.iter().map(|&time| format!("{:>10}", shown(time))).collect();
-    say(&format!("{:<34}{} | {wrong:.2} in {hours:.0} h", detector.name(), cells.join("")));
+    let cells: Vec<String> =
+        times.iter().map(|&time| format!("{:>10}", format_time(time))).collect();
+    print_line(&format!("{:<34}{} | {wrong:.2} in {hours:.0} h", detector.name(), cells.join("")));
     (times, wrong)
 }
 
-/// Compares the placer with five errors in a row. Returns whether the aim is met.
+/// Compares the placer with five errors in a print_row. Returns whether the aim is met.
 fn compare(name: &str, shape: &ServiceShape, rule: &ServiceRule, hours: f64) -> bool {
-    say(&format!(
+    print_line(&format!(
         "\n{name}: {} upstreams, {} entries, {} calls/s each",
         shape.upstreams, shape.entries, shape.rate
     ));
-    header();
-    let (first, first_wrong) = row(&Detector::Row(5), shape, hours);
-    row(&Detector::LoneSequential(rule.clone()), shape, hours);
-    let (placer, wrong) = row(&Detector::Placer(rule.clone()), shape, hours);
+    print_header();
+    let (first, first_wrong) = print_row(&Detector::ConsecutiveErrors(5), shape, hours);
+    print_row(&Detector::EntrySequential(rule.clone()), shape, hours);
+    let (placer, wrong) = print_row(&Detector::Placer(rule.clone()), shape, hours);
     let ratios: Vec<f64> = first.iter().zip(&placer).map(|(a, b)| a / b).collect();
     let cells: Vec<String> = ratios.iter().map(|ratio| format!("{ratio:>9.0}x")).collect();
-    say(&format!("{:<34}{}", "placer sooner by at least", cells.join("")));
-    ratios.iter().all(|&ratio| ratio >= AIM) && wrong <= first_wrong
+    print_line(&format!("{:<34}{}", "placer sooner by at least", cells.join("")));
+    ratios.iter().all(|&ratio| ratio >= MIN_SPEEDUP) && wrong <= first_wrong
 }
 
-fn curve() {
-    say("\nThe curve: 15 upstreams, 48 entries, prices late : false");
-    header();
+fn print_price_curve() {
+    print_line("\nThe print_price_curve: 15 upstreams, 48 entries, prices late : false");
+    print_header();
     for limit in [2, 3, 5, 8] {
-        row(&Detector::Row(limit), &GUILD, HOURS);
+        print_row(&Detector::ConsecutiveErrors(limit), &GUILD, HOURS);
     }
     for (late, wrong) in [(200, 1), (10, 1), (1, 1), (1, 10), (1, 60), (1, 10_000)] {
-        say(&format!("prices {late} : {wrong}"));
-        row(&Detector::Placer(priced(late, wrong)), &GUILD, HOURS);
+        print_line(&format!("prices {late} : {wrong}"));
+        print_row(&Detector::Placer(rule_with_prices(late, wrong)), &GUILD, HOURS);
     }
 }
 
@@ -176,7 +183,9 @@
                 .collect();
             runs.into_iter().map(|run| run.join().expect("a run does not panic")).sum()
         });
-        say(&format!("healthy, {name}: {found:.0} false ejections in {hours:.0} upstream-hours"));
+        print_line(&format!(
+            "healthy, {name}: {found:.0} false ejections in {hours:.0} upstream-hours"
+        ));
         wrong += found;
     }
     wrong
@@ -190,10 +199,10 @@
     }
     let mut met = compare("Guild", &GUILD, &build::guild_rule(15), HOURS);
     met &= compare("Convoy Society", &CONVOY, &build::convoy_rule(8), HOURS);
-    met &= compare("Large", &LARGE, &priced(1, 10), HOURS);
-    curve();
-    say(&format!(
-        "\nbound: {AIM} times sooner than five in a row, at no more false ejections: {met}"
+    met &= compare("Large", &LARGE, &rule_with_prices(1, 10), HOURS);
+    print_price_curve();
+    print_line(&format!(
+        "\nbound: {MIN_SPEEDUP} times sooner than five in a print_row, at no more false ejections: {met}"
     ));
     if met { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/decide/benches/traffic/detectors.rs
+++ b/crates/decide/benches/traffic/detectors.rs
@@ -2,7 +2,7 @@
 
 use super::build;
 use decide::{
-    detect::{DetectionThresholds, DetectionVerdict, Evidence, EvidenceSource, PeerDetector},
+    detect::{DetectionThresholds, DetectionVerdict, Evidence, EvidenceSource, OutlierDetector},
     placer::{AskId, PlacerAction, ServicePlacer},
 };
 use model::{call::OutcomeClass, config::ServiceRule, moment::Moment, slot::SlotGrant};
@@ -42,34 +42,37 @@
 }
 
 /// How an entry alone judges.
-enum LoneTest {
-    /// So many errors in a row.
-    Row { limit: u32, rows: Vec<u32> },
+enum EntryTest {
+    /// So many errors in a print_row.
+    ConsecutiveErrors { limit: u32, counts: Vec<u32> },
     /// The sequential test on its own calls.
-    Sequential(Box<PeerDetector>),
+    Sequential(Box<OutlierDetector>),
 }
 
 /// Each entry on its own.
-pub struct LoneEntries {
+pub struct IndependentEntries {
     upstreams: usize,
-    tests: Vec<LoneTest>,
+    tests: Vec<EntryTest>,
     out: Vec<Vec<bool>>,
     false_ejections: f64,
 }
 
-impl LoneEntries {
-    pub fn in_a_row(limit: u32, upstreams: usize, entries: usize) -> Self {
-        Self::open(upstreams, entries, || LoneTest::Row { limit, rows: vec![0; upstreams] })
+impl IndependentEntries {
+    pub fn consecutive_errors(limit: u32, upstreams: usize, entries: usize) -> Self {
+        Self::open(upstreams, entries, || EntryTest::ConsecutiveErrors {
+            limit,
+            counts: vec![0; upstreams],
+        })
     }
 
     pub fn sequential(rule: &ServiceRule, upstreams: usize, entries: usize) -> Self {
         let thresholds = DetectionThresholds::from_rule(rule);
         Self::open(upstreams, entries, || {
-            LoneTest::Sequential(Box::new(PeerDetector::open(thresholds)))
+            EntryTest::Sequential(Box::new(OutlierDetector::new(thresholds)))
         })
     }
 
-    fn open(upstreams: usize, entries: usize, test: impl Fn() -> LoneTest) -> Self {
+    fn open(upstreams: usize, entries: usize, test: impl Fn() -> EntryTest) -> Self {
         Self {
             upstreams,
             tests: (0..entries).map(|_| test()).collect(),
@@ -79,7 +82,7 @@
     }
 }
 
-impl FailureDetector for LoneEntries {
+impl FailureDetector for IndependentEntries {
     fn choose(
         &mut self,
         _call: u64,
@@ -109,17 +112,17 @@
     ) {
         let failed = outcome != OutcomeClass::Success;
         let eject = match &mut self.tests[entry] {
-            LoneTest::Row { limit, rows } => {
-                rows[upstream] = if failed { rows[upstream] + 1 } else { 0 };
-                rows[upstream] >= *limit
+            EntryTest::ConsecutiveErrors { limit, counts } => {
+                counts[upstream] = if failed { counts[upstream] + 1 } else { 0 };
+                counts[upstream] >= *limit
             }
-            LoneTest::Sequential(detector) => {
+            EntryTest::Sequential(detector) => {
                 // The same entry and domain always: a lone entry cannot tell a bad path.
                 let source = EvidenceSource { upstream, route, entry: 0, domain: 0 };
                 let took = took.as_micros() as u64;
-                let evidence = if failed { Evidence::Failure } else { Evidence::Answer(took) };
+                let evidence = if failed { Evidence::Failure } else { Evidence::Response(took) };
                 let verdict = detector.observe(&source, evidence, now);
-                matches!(verdict, DetectionVerdict::Failing | DetectionVerdict::Late)
+                matches!(verdict, DetectionVerdict::Failing | DetectionVerdict::Slow)
             }
         };
         if !eject {
@@ -131,8 +134,8 @@
         }
         self.false_ejections += 1.0 / self.tests.len() as f64;
         match &mut self.tests[entry] {
-            LoneTest::Row { rows, .. } => rows[upstream] = 0,
-            LoneTest::Sequential(detector) => detector.clear(upstream),
+            EntryTest::ConsecutiveErrors { counts, .. } => counts[upstream] = 0,
+            EntryTest::Sequential(detector) => detector.clear(upstream),
         }
     }
 
@@ -147,7 +150,7 @@
 }
 
 /// One placer for all entries.
-pub struct OnePlacer {
+pub struct PlacerDetector {
     placer: ServicePlacer,
     upstreams: usize,
     slots: u32,
@@ -161,7 +164,7 @@
     pub decisions: u64,
 }
 
-impl OnePlacer {
+impl PlacerDetector {
     pub fn open(rule: ServiceRule, upstreams: usize, slots: u32, seed: u64) -> Self {
         let mut one = Self {
             placer: ServicePlacer::open(build::settings(rule, seed)),
@@ -192,7 +195,7 @@
         }
     }
 
-    fn keep_time(&mut self, now: Moment) {
+    fn advance(&mut self, now: Moment) {
         if now.since(self.renewed) > Duration::from_secs(60) {
             self.renew(now);
         }
@@ -202,7 +205,7 @@
         }
     }
 
-    fn note(&mut self) {
+    fn process_actions(&mut self) {
         for action in self.actions.drain(..) {
             match action {
                 PlacerAction::Eject { upstream, .. } => {
@@ -221,7 +224,7 @@
     }
 }
 
-impl FailureDetector for OnePlacer {
+impl FailureDetector for PlacerDetector {
     fn choose(
         &mut self,
         call: u64,
@@ -230,12 +233,12 @@
         _random: &mut Pcg64Mcg,
         now: Moment,
     ) -> Option<usize> {
-        self.keep_time(now);
+        self.advance(now);
         self.decisions += 1;
         let ask = build::ask(call, 1, entry, route, entry, 10_000);
         let id = AskId { entry: build::entry(entry), call: ask.call, attempt: 1 };
         self.placer.ask(build::entry(entry), ask, now, &mut self.actions);
-        self.note();
+        self.process_actions();
         let upstream = self.grants.get(&call).map(|g| build::upstream_number(&g.upstream));
         if upstream.is_none() {
             self.placer.cancel(&id);
@@ -256,7 +259,7 @@
         let Some(grant) = self.grants.remove(&call) else { return };
         let settle = build::settle(&grant, route, call | 1 << 40, outcome, took);
         self.placer.settle(&settle, now, &mut self.actions);
-        self.note();
+        self.process_actions();
     }
 
     fn found(&self) -> bool {
--- a/crates/decide/benches/traffic/mod.rs
+++ b/crates/decide/benches/traffic/mod.rs
@@ -45,11 +45,11 @@
 /// 0.3% of all calls fail. Each ten minutes one route fails at all upstreams for ten seconds (a third
 /// of its calls), one path between an entry and an upstream is lost for five seconds, and one upstream
 /// stalls for 100 ms.
-const BACKGROUND: f64 = 0.003;
-const NOISE_PERIOD: f64 = 600.0;
+const BASELINE_FAILURE_SHARE: f64 = 0.003;
+const NOISE_PERIOD_S: f64 = 600.0;
 const ROUTE_FAILURE: (f64, f64) = (10.0, 0.33);
-const PATH_LOSS: f64 = 5.0;
-const STALL: f64 = 0.1;
+const PATH_LOSS_S: f64 = 5.0;
+const STALL_S: f64 = 0.1;
 
 #[derive(Debug, Default)]
 struct NoiseWindow {
@@ -63,8 +63,8 @@
 
 impl NoiseWindow {
     fn draw(number: u64, shape: &ServiceShape, random: &mut Pcg64Mcg) -> Self {
-        let begin = number as f64 * NOISE_PERIOD;
-        let mut within = || begin + random.random_range(60.0..NOISE_PERIOD - 20.0);
+        let begin = number as f64 * NOISE_PERIOD_S;
+        let mut within = || begin + random.random_range(60.0..NOISE_PERIOD_S - 20.0);
         let (route_from, path_from, stall_from) = (within(), within(), within());
         Self {
             route: random.random_range(0..ROUTES.len()),
@@ -81,13 +81,13 @@
     }
 
     fn path_lost(&self, entry: usize, upstream: usize, now: f64) -> bool {
-        (entry, upstream) == self.path && (0.0..PATH_LOSS).contains(&(now - self.path_from))
+        (entry, upstream) == self.path && (0.0..PATH_LOSS_S).contains(&(now - self.path_from))
     }
 
     fn stall_left(&self, upstream: usize, now: f64) -> f64 {
         let passed = now - self.stall_from;
-        let stalled = upstream == self.stalled && (0.0..STALL).contains(&passed);
-        if stalled { STALL - passed } else { 0.0 }
+        let stalled = upstream == self.stalled && (0.0..STALL_S).contains(&passed);
+        if stalled { STALL_S - passed } else { 0.0 }
     }
 }
 
@@ -99,14 +99,14 @@
     random: Pcg64Mcg,
     noise: NoiseWindow,
     noise_number: u64,
-    noisy: bool,
-    ends: BinaryHeap<Reverse<(Moment, u64)>>,
-    calls: BTreeMap<u64, LiveCall>,
+    with_noise: bool,
+    completions: BinaryHeap<Reverse<(Moment, u64)>>,
+    calls: BTreeMap<u64, ActiveCall>,
     next: u64,
     now: f64,
 }
 
-struct LiveCall {
+struct ActiveCall {
     entry: usize,
     route: usize,
     upstream: usize,
@@ -119,12 +119,24 @@
 }
 
 impl TrafficRun {
-    pub fn open(shape: ServiceShape, fault: UpstreamFault, noisy: bool, seed: u64) -> Self {
+    pub fn open(shape: ServiceShape, fault: UpstreamFault, with_noise: bool, seed: u64) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let noise = NoiseWindow::draw(0, &shape, &mut random);
-        let (ends, calls) = (BinaryHeap::new(), BTreeMap::new());
+        let (completions, calls) = (BinaryHeap::new(), BTreeMap::new());
         let (noise_number, next, now, onset) = (0, 0, 0.0, 30.0);
-        Self { shape, fault, onset, random, noise, noise_number, noisy, ends, calls, next, now }
+        Self {
+            shape,
+            fault,
+            onset,
+            random,
+            noise,
+            noise_number,
+            with_noise,
+            completions,
+            calls,
+            next,
+            now,
+        }
     }
 
     /// Runs until the fault is found, and returns how long after its onset, or `None` at the limit.
@@ -149,12 +161,12 @@
     fn step(&mut self, detector: &mut dyn FailureDetector) {
         let rate = self.shape.rate * self.shape.upstreams as f64;
         self.now += -(1.0 - self.random.random::<f64>()).ln() / rate;
-        let present = moment(self.now);
-        while let Some(&Reverse((at, call))) = self.ends.peek() {
-            if at > present {
+        let now = moment(self.now);
+        while let Some(&Reverse((at, call))) = self.completions.peek() {
+            if at > now {
                 break;
             }
-            self.ends.pop();
+            self.completions.pop();
             let Some(live) = self.calls.remove(&call) else { continue };
             detector.finish(
                 call,
@@ -166,33 +178,33 @@
                 at,
             );
         }
-        let number = (self.now / NOISE_PERIOD) as u64;
+        let number = (self.now / NOISE_PERIOD_S) as u64;
         if number != self.noise_number {
             self.noise_number = number;
             self.noise = NoiseWindow::draw(number, &self.shape, &mut self.random);
         }
-        self.arrive(detector, present);
+        self.arrive(detector, now);
     }
 
-    fn arrive(&mut self, detector: &mut dyn FailureDetector, present: Moment) {
+    fn arrive(&mut self, detector: &mut dyn FailureDetector, now: Moment) {
         self.next += 1;
         let call = self.next;
         let entry = self.random.random_range(0..self.shape.entries);
         let route = usize::from(self.random.random::<f64>() >= ROUTES[0].0);
-        let Some(upstream) = detector.choose(call, entry, route, &mut self.random, present) else {
+        let Some(upstream) = detector.choose(call, entry, route, &mut self.random, now) else {
             return;
         };
         let (outcome, took) = self.draw(entry, route, upstream);
-        self.ends.push(Reverse((present + took, call)));
-        self.calls.insert(call, LiveCall { entry, route, upstream, outcome, took });
+        self.completions.push(Reverse((now + took, call)));
+        self.calls.insert(call, ActiveCall { entry, route, upstream, outcome, took });
     }
 
     fn draw(&mut self, entry: usize, route: usize, upstream: usize) -> (OutcomeClass, Duration) {
         let bad = upstream == 0 && self.now >= self.onset;
         let fault = if bad { self.fault } else { HEALTHY };
         let mut took = answer_time(ROUTES[route].1 * fault.slow, &mut self.random);
-        let mut share = BACKGROUND + fault.fail_share;
-        if self.noisy {
+        let mut share = BASELINE_FAILURE_SHARE + fault.fail_share;
+        if self.with_noise {
             if self.noise.path_lost(entry, upstream, self.now) {
                 return (OutcomeClass::ConnectFailure, Duration::from_millis(3));
             }
--- a/crates/decide/tests/rows.rs
+++ b/crates/decide/tests/fault_matrix.rs
@@ -26,7 +26,7 @@
 }
 
 /// One upstream is in a condition from the onset on.
-fn one_bad(upstream: usize, condition: Condition) -> support::ConditionPlan {
+fn one_upstream_in(upstream: usize, condition: Condition) -> support::ConditionPlan {
     Box::new(move |n, now| if n == upstream && now >= onset() { condition } else { WELL })
 }
 
@@ -35,7 +35,7 @@
     found.map(|(at, _, _)| at.since(onset()))
 }
 
-fn falsely_out(world: &World, bad: &[usize]) -> usize {
+fn false_ejections(world: &World, bad: &[usize]) -> usize {
     world.ejections().iter().filter(|(_, n, _)| !bad.contains(n)).count()
 }
 
@@ -47,12 +47,12 @@
     for plan in plans(9) {
         let floor = plan.rule.floor_slots;
         let mut world = World::open(WorldPlan {
-            condition: one_bad(3, Condition { fail_share: 0.3, ..WELL }),
+            condition: one_upstream_in(3, Condition { fail_share: 0.3, ..WELL }),
             ..plan
         });
         world.run_seconds(30);
         expect_that!(first_ejection(&world, 3), some(lt(Duration::from_secs(2))));
-        expect_that!(falsely_out(&world, &[3]), eq(0));
+        expect_that!(false_ejections(&world, &[3]), eq(0));
         expect_that!(world.outcome.least_healthy_slots, ge(floor));
         expect_that!(world.outcome.answered_share(), gt(0.99));
     }
@@ -83,13 +83,13 @@
 fn row_11_a_straggler_among_long_and_short_work_is_found_and_no_other() {
     for plan in plans(11) {
         let mut world = World::open(WorldPlan {
-            condition: one_bad(3, Condition { slow: 10.0, ..WELL }),
+            condition: one_upstream_in(3, Condition { slow: 10.0, ..WELL }),
             ..plan
         });
         world.run_seconds(60);
         expect_that!(first_ejection(&world, 3), some(lt(Duration::from_secs(5))));
         expect_that!(world.ejections()[0].2, eq(EjectReason::Latency));
-        expect_that!(falsely_out(&world, &[3]), eq(0));
+        expect_that!(false_ejections(&world, &[3]), eq(0));
         expect_that!(world.outcome.answered_share(), gt(0.99));
     }
 }
@@ -112,11 +112,11 @@
         };
         let (first, last) = (sum(0, 120), sum(480, 600));
         expect_that!(last * 3, le(first), "hurt in the first and the last two minutes");
-        expect_that!(falsely_out(&world, &[3]), eq(0));
+        expect_that!(false_ejections(&world, &[3]), eq(0));
     }
 }
 
-fn fail_on(bad: &[usize]) -> impl FnMut(usize, usize) -> OutcomeClass {
+fn failing_upstreams(bad: &[usize]) -> impl FnMut(usize, usize) -> OutcomeClass {
     let bad = bad.to_vec();
     move |_, upstream| {
         if bad.contains(&upstream) { OutcomeClass::ErrorAnswer } else { OutcomeClass::Success }
@@ -127,7 +127,7 @@
 fn at_the_floor() -> Direct {
     let rule = ServiceRule { floor_slots: 24, ejection_ms: 60_000, ..ServiceRule::default() };
     let mut direct = Direct::open(rule, 8, 4);
-    let actions = direct.run_calls(400, fail_on(&[1, 2]));
+    let actions = direct.run_calls(400, failing_upstreams(&[1, 2]));
     let mut out = ejected(&actions);
     out.sort_unstable();
     assert_eq!(out, [1, 2], "both fail and both can be spared");
@@ -169,7 +169,7 @@
 #[gtest]
 fn row_13_a_bad_upstream_at_the_floor_stays_and_is_used_last() {
     let mut direct = at_the_floor();
-    let actions = direct.run_calls(300, fail_on(&[3]));
+    let actions = direct.run_calls(300, failing_upstreams(&[3]));
     expect_that!(ejected(&actions), is_empty());
     let first: Vec<usize> =
         (0..18).map(|_| build::upstream_number(&direct.ask().grant().upstream)).collect();
@@ -333,7 +333,7 @@
             }
         }
         let lost = [0, 4, 8];
-        expect_that!(falsely_out(&world, &[0, 3, 4, 5, 8]), eq(0));
+        expect_that!(false_ejections(&world, &[0, 3, 4, 5, 8]), eq(0));
         expect_that!(world.outcome.crashes, le(2));
         expect_that!(world.outcome.least_healthy_slots, ge(floor));
         expect_that!(world.outcome.answered_share(), gt(0.97));
