--- a/crates/decide/tests/rows.rs
+++ b/crates/decide/tests/rows.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use support::{
     Condition, WELL, World, WorldPlan, build,
-    direct::{Direct, ejected, returned},
+    harness::{PlacerHarness, ejected, returned},
     outcome::health_of,
 };
 
@@ -106,7 +106,7 @@
         };
         let mut world = World::open(WorldPlan { condition: Box::new(bad), ..plan });
         world.run_seconds(600);
-        let hurt = &world.outcome.hurt_by_second;
+        let hurt = &world.outcome.failed_tries_by_second;
         let sum = |from: usize, to: usize| {
             hurt[from.min(hurt.len())..to.min(hurt.len())].iter().sum::<u64>()
         };
@@ -124,9 +124,9 @@
 }
 
 /// A placer of eight upstreams with four slots, two of them ejected, which leaves just the floor.
-fn at_the_floor() -> Direct {
+fn at_the_floor() -> PlacerHarness {
     let rule = ServiceRule { floor_slots: 24, ejection_ms: 60_000, ..ServiceRule::default() };
-    let mut direct = Direct::open(rule, 8, 4);
+    let mut direct = PlacerHarness::open(rule, 8, 4);
     let actions = direct.run_calls(400, fail_on(&[1, 2]));
     let mut out = ejected(&actions);
     out.sort_unstable();
@@ -141,9 +141,9 @@
 fn row_13_floor_reached_then_another_dies() {
     let mut direct = at_the_floor();
     direct.renew([0, 1, 2, 3, 4, 5, 6], 4);
-    let mut actions = direct.pass(1_000);
+    let mut actions = direct.advance(1_000);
     direct.renew([0, 1, 2, 3, 4, 5, 6], 4);
-    actions.extend(direct.pass(700));
+    actions.extend(direct.advance(700));
     expect_that!(returned(&actions).len(), eq(1));
     expect_that!(direct.placer.capacity().healthy_slots, ge(24));
 }
@@ -180,7 +180,7 @@
 // machine are hurt until it routes round; an ejection would take the upstream from all.
 #[gtest]
 fn row_16_a_bad_path_from_one_entry_ejects_nothing() {
-    let mut direct = Direct::open(build::guild_rule(12), 12, 4);
+    let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let broken = |entry, upstream| {
         if entry == 7 && upstream % 4 == 3 {
             OutcomeClass::ConnectFailure
@@ -195,7 +195,7 @@
 // A whole failure domain of entries has lost its path to one upstream.
 #[gtest]
 fn row_16_a_bad_path_from_one_domain_ejects_nothing_and_is_routed_round() {
-    let mut direct = Direct::open(build::guild_rule(12), 12, 4);
+    let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let mut met = 0;
     let actions = direct.run_calls(8_000, |entry, upstream| {
         let broken = entry % 4 == 1 && upstream == 1;
@@ -230,7 +230,7 @@
 // was in flight at three crashes, and yet is as innocent as the rest.
 #[gtest]
 fn row_23_a_popular_request_in_a_lost_domain_is_not_refused() {
-    let mut direct = Direct::open(ServiceRule::default(), 12, 4);
+    let mut direct = PlacerHarness::open(ServiceRule::default(), 12, 4);
     let popular = 5;
     let grants: Vec<_> = (0..12)
         .map(|entry| direct.ask_from(entry, |ask| ask.fingerprint.0 = popular).grant())
@@ -238,11 +238,11 @@
     for grant in grants.iter().filter(|g| build::upstream_number(&g.upstream).is_multiple_of(4)) {
         direct.settle_as(grant, popular, OutcomeClass::Crash, 20);
     }
-    direct.pass(1_200);
+    direct.advance(1_200);
     direct.renew(0..12, 4);
     let refused = |reason| reason == RefusalReason::Poisonous;
     match direct.ask_from(0, |ask| ask.fingerprint.0 = popular) {
-        support::direct::Answer::Refusal(refusal) => {
+        support::harness::AskOutcome::Refusal(refusal) => {
             expect_that!(refused(refusal.reason) && refusal.retry_after_ms > 5_000, eq(false));
         }
         answer => expect_that!(answer.is_queued(), eq(false)),
@@ -344,7 +344,7 @@
 // The same message twice: a settle that is sent again frees its slot once.
 #[gtest]
 fn row_28_a_settle_sent_twice_counts_once() {
-    let mut direct = Direct::open(ServiceRule::default(), 1, 1);
+    let mut direct = PlacerHarness::open(ServiceRule::default(), 1, 1);
     let first = direct.ask().grant();
     direct.settle(&first, OutcomeClass::Success);
     let second = direct.ask().grant();
@@ -361,7 +361,7 @@
 // its own to guard.
 #[gtest]
 fn row_17_a_new_placer_takes_over_ejections_down_to_the_floor() {
-    let mut direct = Direct::open(build::guild_rule(12), 12, 4);
+    let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let floor = build::guild_rule(12).floor_slots;
     let until = direct.now + Duration::from_secs(5);
     let mut actions = Vec::new();
@@ -379,7 +379,7 @@
 // An ejection whose time is over by the time it is heard of is none.
 #[gtest]
 fn row_17_an_ejection_that_is_over_is_not_taken_over() {
-    let mut direct = Direct::open(build::guild_rule(12), 12, 4);
+    let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let mut actions = Vec::new();
     direct.placer.adopt_ejection(&build::upstream(3), direct.now, direct.now, &mut actions);
     expect_that!(ejected(&actions), is_empty());
--- a/crates/decide/tests/support/direct.rs
+++ b/crates/decide/tests/support/harness.rs
@@ -11,7 +11,7 @@
 };
 use std::time::Duration;
 
-pub struct Direct {
+pub struct PlacerHarness {
     pub placer: ServicePlacer,
     pub now: Moment,
     pub calls: u64,
@@ -22,13 +22,13 @@
 
 /// What came of an ask at once.
 #[derive(Clone, Debug)]
-pub enum Answer {
+pub enum AskOutcome {
     Grant(SlotGrant),
     Refusal(CallRefusal),
     Queued,
 }
 
-impl Answer {
+impl AskOutcome {
     pub fn grant(self) -> SlotGrant {
         match self {
             Self::Grant(grant) => grant,
@@ -48,17 +48,17 @@
     }
 }
 
-impl Direct {
+impl PlacerHarness {
     /// Opens a placer with warm upstreams spread over four domains.
     pub fn open(rule: ServiceRule, upstreams: usize, slots: u32) -> Self {
-        let mut direct = Self::unready(rule, upstreams, slots);
+        let mut direct = Self::open_recounting(rule, upstreams, slots);
         let mut actions = Vec::new();
         direct.placer.finish_recount(direct.now, &mut actions);
         direct
     }
 
     /// The same before the recount has ended.
-    pub fn unready(rule: ServiceRule, upstreams: usize, slots: u32) -> Self {
+    pub fn open_recounting(rule: ServiceRule, upstreams: usize, slots: u32) -> Self {
         let placer = ServicePlacer::open(settings(rule, 5));
         let now = Moment::from_millis(1_000);
         let mut direct = Self { placer, now, calls: 0, sequence: 1, upstreams, slots };
@@ -82,14 +82,14 @@
         actions
     }
 
-    pub fn pass(&mut self, millis: u64) -> Vec<PlacerAction> {
+    pub fn advance(&mut self, millis: u64) -> Vec<PlacerAction> {
         self.now = self.now + Duration::from_millis(millis);
         let mut actions = Vec::new();
         self.placer.tick(self.now, &mut actions);
         actions
     }
 
-    pub fn ask_from(&mut self, entry: usize, change: impl FnOnce(&mut SlotAsk)) -> Answer {
+    pub fn ask_from(&mut self, entry: usize, change: impl FnOnce(&mut SlotAsk)) -> AskOutcome {
         self.calls += 1;
         let mut ask = ask(self.calls, 1, entry, 0, entry, 1_000);
         change(&mut ask);
@@ -99,7 +99,7 @@
         answer_to(&id, &actions)
     }
 
-    pub fn ask(&mut self) -> Answer {
+    pub fn ask(&mut self) -> AskOutcome {
         let entry = (self.calls % 40) as usize;
         self.ask_from(entry, |_| ())
     }
@@ -133,8 +133,8 @@
                 seen.extend(self.renew(0..self.upstreams, self.slots));
             }
             let entry = (self.calls % 40) as usize;
-            let Answer::Grant(grant) = self.ask() else { continue };
-            seen.extend(self.pass(2));
+            let AskOutcome::Grant(grant) = self.ask() else { continue };
+            seen.extend(self.advance(2));
             let upstream = build::upstream_number(&grant.upstream);
             seen.extend(self.settle(&grant, outcome(entry, upstream)));
         }
@@ -147,19 +147,19 @@
     }
 }
 
-fn answer_to(id: &AskId, actions: &[PlacerAction]) -> Answer {
+fn answer_to(id: &AskId, actions: &[PlacerAction]) -> AskOutcome {
     for action in actions {
         match action {
             PlacerAction::Grant { to, grant, .. } if to == id => {
-                return Answer::Grant(grant.clone());
+                return AskOutcome::Grant(grant.clone());
             }
             PlacerAction::Refuse { to, refusal, .. } if to == id => {
-                return Answer::Refusal(*refusal);
+                return AskOutcome::Refusal(*refusal);
             }
             _ => (),
         }
     }
-    Answer::Queued
+    AskOutcome::Queued
 }
 
 pub fn ejected(actions: &[PlacerAction]) -> Vec<usize> {
--- a/crates/decide/tests/support/outcome.rs
+++ b/crates/decide/tests/support/outcome.rs
@@ -33,9 +33,9 @@
     /// When each upstream was last given work, and how much in all.
     pub last_given: Vec<Moment>,
     pub given: Vec<u64>,
-    pub hurt: Vec<u64>,
+    pub failed_tries: Vec<u64>,
     /// Hurt tries by second.
-    pub hurt_by_second: Vec<u64>,
+    pub failed_tries_by_second: Vec<u64>,
     pub least_healthy_slots: u32,
 }
 
@@ -45,13 +45,13 @@
             callers: vec![CallerOutcome::default(); callers],
             last_given: vec![Moment::ZERO; upstreams],
             given: vec![0; upstreams],
-            hurt: vec![0; upstreams],
+            failed_tries: vec![0; upstreams],
             least_healthy_slots: u32::MAX,
             ..Self::default()
         }
     }
 
-    pub fn note(&mut self, action: &PlacerAction, now: Moment) {
+    pub fn record_action(&mut self, action: &PlacerAction, now: Moment) {
         match action {
             PlacerAction::Eject { upstream, reason, .. } => {
                 self.ejections.push((now, upstream_number(upstream), *reason));
@@ -64,21 +64,21 @@
         }
     }
 
-    pub fn given(&mut self, upstream: usize, now: Moment) {
+    pub fn record_grant(&mut self, upstream: usize, now: Moment) {
         self.last_given[upstream] = now;
         self.given[upstream] += 1;
     }
 
-    pub fn hurt(&mut self, upstream: usize, now: Moment) {
-        self.hurt[upstream] += 1;
+    pub fn record_failed_try(&mut self, upstream: usize, now: Moment) {
+        self.failed_tries[upstream] += 1;
         let second = (now.as_micros() / 1_000_000) as usize;
-        if self.hurt_by_second.len() <= second {
-            self.hurt_by_second.resize(second + 1, 0);
+        if self.failed_tries_by_second.len() <= second {
+            self.failed_tries_by_second.resize(second + 1, 0);
         }
-        self.hurt_by_second[second] += 1;
+        self.failed_tries_by_second[second] += 1;
     }
 
-    pub fn watch(&mut self, placer: &ServicePlacer, _now: Moment) {
+    pub fn record_capacity(&mut self, placer: &ServicePlacer, _now: Moment) {
         let row = placer.capacity();
         if row.announced_slots >= row.floor_slots && row.announced_slots > 0 {
             self.least_healthy_slots = self.least_healthy_slots.min(row.healthy_slots);
