--- a/crates/decide/src/capacity.rs
+++ b/crates/decide/src/capacity.rs
@@ -1,11 +1,13 @@
-//! How much of the hardware has to be switched on.
+//! Capacity advice: how many upstreams should be switched on, and how many may stay off.
 //!
-//! Load: the ordinary day, with spare hardware off. Harm prevented: advice to switch off what the
-//! next failure would have needed, and no advice to switch on when calls are refused. Reasons for the
-//! limits: what runs must carry the 95th percentile of the last five minutes, and the floor, after
-//! the loss of its largest failure domain, because a domain is what is lost at once and a cold VM
-//! takes longer than a deadline. Switching on is advised at the first refusals; staying off only
-//! after five whole minutes without one, so that a service just started is not judged by its silence.
+//! Spare hardware is switched off in ordinary traffic. The advice must keep enough of it on to survive
+//! the next failure, and must ask for more when calls are refused.
+//!
+//! The running upstreams must carry the 95th percentile of the last five minutes' use, and the floor,
+//! after the loss of their largest failure domain: a domain fails as a whole, and a cold VM takes
+//! longer to start than a call's deadline. Switching on is advised at the first refusals. Staying off
+//! is advised only after five whole minutes without a refusal, so that a short history, such as that of
+//! a service just started, does not count as low use.
 
 use model::{moment::Moment, names::DomainName};
 use std::{
@@ -13,10 +15,10 @@
     time::Duration,
 };
 
-/// How far back the meter looks, in intervals.
+/// How many intervals of history the meter keeps.
 const INTERVALS: usize = 300;
 
-/// The length of one interval. Within it the greatest use counts.
+/// The length of one interval. The peak use within it counts.
 const INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,44 +27,44 @@
     refused: u32,
 }
 
-/// One upstream as a piece of capacity.
+/// The capacity of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamCapacity {
-    /// What it is lost together with.
+    /// The failure domain of the upstream.
     pub domain: DomainName,
-    /// Its slots.
+    /// The slots of the upstream.
     pub slots: u32,
 }
 
-/// What the meter says.
+/// The use of a service's slots and the advice that follows from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CapacityAdvice {
-    /// Slots in use, at the 95th percentile of the last minutes.
+    /// Slots in use, at the 95th percentile of the last five minutes.
     pub busy_p95: u32,
-    /// Calls refused in the same time for want of a slot.
+    /// Calls refused for lack of a slot in the same time.
     pub refused: u64,
-    /// How many more upstreams should be switched on.
+    /// The number of upstreams to switch on.
     pub switch_on: u32,
-    /// How many upstreams could be switched off.
+    /// The number of upstreams that may be switched off.
     pub may_stay_off: u32,
 }
 
-/// Measures the use of one service's slots over the last minutes.
+/// Measures the use of one service's slots over the last five minutes.
 #[derive(Debug, Default)]
 pub struct CapacityMeter {
     intervals: VecDeque<UsageInterval>,
-    /// When the present interval began.
+    /// When the current interval began.
     interval_start: Option<Moment>,
     busy: u32,
 }
 
 impl CapacityMeter {
-    /// Opens a meter without history.
+    /// Creates a meter without history.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes how many slots are in use from now on.
+    /// Records how many slots are in use from now on.
     pub fn record_busy(&mut self, busy: u32, now: Moment) {
         self.advance(now);
         self.busy = busy;
@@ -70,7 +72,7 @@
         present.peak = present.peak.max(busy);
     }
 
-    /// Notes a call refused for want of a slot.
+    /// Records a call refused for lack of a slot.
     pub fn record_refusal(&mut self, now: Moment) {
         self.advance(now);
         let present = self.intervals.back_mut().expect("advance leaves an interval");
@@ -85,7 +87,7 @@
         peaks.get(rank.saturating_sub(1)).copied().unwrap_or(0)
     }
 
-    /// Judges the healthy upstreams. `call` is how long a call holds a slot on average.
+    /// Returns the advice for the healthy upstreams. `call` is how long a call holds a slot on average.
     pub fn advise(
         &self,
         healthy: &[UpstreamCapacity],
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Returns the slots that the refused calls would have held in the worst interval.
+    /// Returns how many slots the refused calls of the worst interval would have held.
     fn refused_call_slots(&self, call: Duration) -> u32 {
         let worst = self.intervals.iter().map(|interval| interval.refused).max().unwrap_or(0);
         let slots = f64::from(worst) * call.as_secs_f64() / INTERVAL.as_secs_f64();
@@ -133,7 +135,7 @@
     }
 }
 
-/// Slots by failure domain, and what is left when the largest is lost.
+/// The slots of each upstream, by failure domain, smallest first.
 #[derive(Debug, Default)]
 struct SlotsByDomain<'a>(BTreeMap<&'a DomainName, Vec<u32>>);
 
@@ -164,12 +166,15 @@
     }
 }
 
-/// New upstreams are counted with the size of the smallest and into the smallest domain.
+/// Returns how many upstreams to add so that the needed slots survive the loss of the largest domain.
+/// Each added upstream counts as having the slots of the smallest one and as placed in the domain with
+/// the fewest slots.
 fn upstreams_to_switch_on(healthy: &[UpstreamCapacity], needed: u32) -> u32 {
     let domains = SlotsByDomain::from_units(healthy);
     let size = healthy.iter().map(|unit| unit.slots).min().unwrap_or(1).max(1);
     let mut totals: Vec<u32> = domains.totals().collect();
-    // A service in one domain cannot outlive it whatever is added there: the next goes elsewhere.
+    // A service in a single domain does not survive its loss, however much is added there, so a second
+    // domain is assumed.
     if totals.len() < 2 && needed > 0 {
         totals.resize(2, 0);
     }
@@ -185,6 +190,8 @@
     }
 }
 
+/// Returns how many upstreams can be switched off, each from the domain with the most slots, while the
+/// needed slots still survive the loss of the largest domain.
 fn upstreams_to_leave_off(healthy: &[UpstreamCapacity], needed: u32) -> u32 {
     let mut domains = SlotsByDomain::from_units(healthy);
     let mut off = 0;
--- a/crates/decide/src/closed.rs
+++ b/crates/decide/src/closed.rs
@@ -1,10 +1,10 @@
-//! Upstreams that have told this VM to send them nothing.
+//! Upstreams that have asked this VM to send them no calls.
 //!
-//! Load: an upstream in need turns calls away and says to each VM for how long to leave it alone, or says in
-//! its answers that it leaves. Harm prevented: each further call costs its caller a second try, and the
-//! upstream work that it has no room for. What an upstream told a VM binds that VM whoever places its
-//! calls, so each ask names the upstreams that are closed to the VM, and the VM looks once more right before
-//! it sends. It ends with its time, or with the next life of the upstream.
+//! An overloaded upstream refuses calls and tells each VM how long to wait, or states in its answers that
+//! it is leaving. Each further call would cost its caller a retry, and the upstream work that it has no
+//! capacity for. The request binds the VM that received it, whichever placer places the VM's calls. So each
+//! ask to a placer lists the upstreams that are closed to the VM, and the VM checks again right before it
+//! sends. A closure ends after the stated time, or when the upstream restarts.
 
 use model::{
     moment::Moment,
@@ -14,11 +14,11 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// The longest rest that is granted. An upstream that asks for more has most likely erred, and asks again
-/// with its next refusal.
+/// The longest rest that is honored. A longer one is most likely a mistake of the upstream, which can ask
+/// again with its next refusal.
 pub const MAX_REST: Duration = Duration::from_secs(3_600);
 
-/// For how long an upstream that leaves is remembered: longer than any takes to end.
+/// How long a leaving upstream is remembered: longer than any upstream takes to stop.
 const LEAVING_RETENTION: Duration = Duration::from_secs(3_600);
 
 #[derive(Clone, Copy, Debug)]
@@ -28,14 +28,14 @@
     leaving: bool,
 }
 
-/// What came of an upstream's words.
+/// What the terms stated by an upstream changed for this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TermsEffect {
-    /// They close it to this VM no longer than it was.
+    /// The upstream is closed for no longer than before.
     Unchanged,
-    /// It is closed for a time.
+    /// The upstream is closed for this duration.
     Resting(Duration),
-    /// It is closed for the rest of its life.
+    /// The upstream is closed until it restarts.
     Leaving,
 }
 
@@ -44,8 +44,8 @@
 pub struct ClosedUpstreams(BTreeMap<UpstreamName, Closure>);
 
 impl ClosedUpstreams {
-    /// Takes what a life of an upstream has said to this VM. A shorter rest than one that it asked for before
-    /// changes nothing.
+    /// Records the terms that an incarnation of an upstream has stated to this VM. A rest that ends no later
+    /// than one recorded before changes nothing.
     pub fn record_terms(
         &mut self,
         upstream: &UpstreamName,
@@ -68,7 +68,7 @@
         if stated.leaving { TermsEffect::Leaving } else { TermsEffect::Resting(rest) }
     }
 
-    /// Tells whether a life of an upstream takes no calls from this VM.
+    /// Returns whether an incarnation of an upstream accepts no calls from this VM.
     pub fn is_closed(
         &self,
         upstream: &UpstreamName,
@@ -79,7 +79,7 @@
         closure.is_some_and(|closure| incarnation <= closure.incarnation && closure.until > now)
     }
 
-    /// Lists them, as an ask names them.
+    /// Lists the closed upstreams in the form that an ask carries.
     pub fn list(&self, now: Moment) -> Vec<ClosedUpstream> {
         let closed = self.0.iter().filter(|(_, closure)| closure.until > now);
         let closed = closed.map(|(upstream, closure)| {
@@ -95,7 +95,7 @@
 }
 
 impl Closure {
-    /// Tells whether another one, heard later, adds nothing to it.
+    /// Returns whether a closure that was stated later adds nothing to this one.
     fn covers(&self, other: &Self) -> bool {
         match self.incarnation.cmp(&other.incarnation) {
             std::cmp::Ordering::Greater => true,
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -1,39 +1,41 @@
-//! How many calls an upstream is given at once.
+//! The adaptive concurrency limit of an upstream.
 //!
-//! Load: an upstream that announces more slots than it can work on, or sheds, or just lost its peers
-//! and gets their work. Harm prevented: each further call only makes the others slower; a wave of
-//! moved work breaks the next upstream. Announced slots and load reports mislead, so the limit follows
-//! what is seen: shed answers, and throughput that falls as calls are added.
+//! An upstream may announce more slots than it can work on, may shed load, or may take over the work of
+//! peers that were just lost. Calls beyond its capacity only slow down the others, and a wave of moved
+//! work can bring down the next upstream. Announced slots and load reports are unreliable, so the limit
+//! follows what is observed: shed answers, and throughput that falls as calls are added.
 //!
-//! Reasons for the limits: never above the announced slots, never below one (an upstream without work
-//! gives no evidence). A shed answer takes a third off, once in a tenth of a second, as calls in
-//! flight are shed together; each success gives back a part so that a whole round of successes gives
-//! one slot, the usual additive increase. After a loss of many slots elsewhere the window starts at
-//! half and doubles with each round: full within a few service times where there is room.
+//! The limit is never above the announced slots and never below one, since an upstream without work gives
+//! no evidence. A shed answer reduces it by a third, at most once in a tenth of a second, because calls in
+//! flight are shed together. A whole round of successes adds one slot, the usual additive increase. After
+//! many slots were lost elsewhere, the window restarts at half of the slots and doubles with each round:
+//! it is full within a few service times if the upstream keeps up.
 
 use model::moment::Moment;
 use std::time::Duration;
 
-/// Shed answers closer together than this are one event.
+/// Shed answers closer together than this count as one event.
 const SHED_COOLDOWN: Duration = Duration::from_millis(100);
 
-/// For how long after a shed answer times are not held against an upstream: until its limit has grown
-/// back by a few slots and would have met the next shed answer.
+/// How long after a shed answer an upstream counts as overloaded, so that slow answers are not evidence
+/// against it: until its limit has grown back by a few slots and would have met the next shed answer.
 const OVERLOAD_SPAN: Duration = Duration::from_secs(5);
 
-/// How many answers at each number of calls make a block. The mean of so many is right to a tenth.
+/// The number of answers in a block, counted for each concurrency level. The mean of so many is accurate
+/// to a tenth.
 const BLOCK_SIZE: u32 = 64;
 
-/// Throughput below this part of that with fewer calls is falling; noise does not reach it.
+/// Throughput counts as falling below this fraction of the throughput at a lower concurrency. Noise does
+/// not reach it.
 const FALLING_RATIO: f64 = 0.7;
 
-/// For how long a cut for falling throughput holds before it is tried again.
+/// How long a cut for falling throughput holds before higher concurrency is tried again.
 const CUT_DURATION: Duration = Duration::from_secs(10);
 
-/// Numbers of calls above this share one level.
+/// The number of concurrency levels. Calls beyond the last level count toward it.
 const MAX_LEVELS: usize = 64;
 
-/// The mean time of one block of answers, in parts of the route's median, and when they came.
+/// The mean response time of one block of answers, relative to the route's median, and when they came.
 #[derive(Clone, Copy, Debug)]
 struct ResponseBlock {
     mean: f64,
@@ -41,7 +43,7 @@
     ended: Moment,
 }
 
-/// Answers that began with the same number of calls running.
+/// Answers to calls that started with the same number of calls running.
 #[derive(Clone, Copy, Debug, Default)]
 struct ConcurrencyLevel {
     answers: u32,
@@ -68,47 +70,48 @@
     }
 }
 
-/// The limit of one upstream.
+/// The concurrency limit of one upstream.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
     slots: u32,
     window: f64,
-    /// Below this the window doubles with each round instead of growing by one.
+    /// Below this size the window doubles with each round instead of growing by one.
     slow_start_until: f64,
     last_shed: Option<Moment>,
     levels: Vec<ConcurrencyLevel>,
+    /// The limit set for falling throughput, and until when it holds.
     cut: Option<(u32, Moment)>,
 }
 
 impl ConcurrencyLimit {
-    /// Opens a limit at the announced slots.
+    /// Creates a limit at the announced slots.
     pub fn new(slots: u32) -> Self {
         let window = f64::from(slots);
         let (last_shed, cut) = (None, None);
         Self { slots, window, slow_start_until: 0.0, last_shed, levels: Vec::new(), cut }
     }
 
-    /// Follows a change of the announced slots.
+    /// Sets the announced slots. A change resets the limit.
     pub fn set_slots(&mut self, slots: u32) {
         if slots != self.slots {
             *self = Self::new(slots);
         }
     }
 
-    /// Returns how many calls may run at once.
+    /// Returns how many calls may run at the same time.
     pub fn current(&self) -> u32 {
         let window = self.window as u32;
         let cut = self.cut.map_or(self.slots, |(cut, _)| cut);
         window.min(cut).clamp(1, self.slots.max(1)).min(self.slots)
     }
 
-    /// Tells whether the upstream has said of late that it is given too much. Its slow answers are then
-    /// the doing of whoever gives it work.
+    /// Returns whether the upstream has shed a call recently. Its slow answers are then caused by the load
+    /// that it is given, not by a fault of its own.
     pub fn is_overloaded(&self, now: Moment) -> bool {
         self.last_shed.is_some_and(|last| now.since(last) < OVERLOAD_SPAN)
     }
 
-    /// Counts a shed answer that came while `busy` calls ran.
+    /// Records a shed answer that came while `busy` calls were running.
     pub fn record_shed(&mut self, busy: u32, now: Moment) {
         let recent = self.last_shed.is_some_and(|last| now.since(last) < SHED_COOLDOWN);
         if recent {
@@ -120,8 +123,8 @@
         self.slow_start_until = 0.0;
     }
 
-    /// Counts an answer that began with `busy` calls running, itself included, and took `ratio` of
-    /// the route's median where that is known.
+    /// Records the success of a call that started with `busy` calls running, itself included. `ratio` is
+    /// its response time relative to the route's median, if that is known.
     pub fn record_success(&mut self, busy: u32, ratio: Option<f64>, now: Moment) {
         let step = if self.window < self.slow_start_until { 1.0 } else { 1.0 / self.window };
         self.window = (self.window + step).min(f64::from(self.slots));
@@ -134,7 +137,8 @@
         }
     }
 
-    /// Starts small again, since others' work is about to come: at half, or what runs already.
+    /// Restarts the window at half of the slots, or at the calls already running if they are more, because
+    /// the work of lost upstreams is about to arrive.
     pub fn start_slowly(&mut self, busy: u32) {
         let half = self.slots.div_ceil(2);
         self.window = self.window.min(f64::from(half.max(busy)));
@@ -151,8 +155,9 @@
         }
     }
 
-    /// Compares blocks that overlap in time only. An upstream that has become slow altogether is full
-    /// all the time, and its times with fewer calls are those of better days: no reason for a cut.
+    /// Cuts the limit to the level with the highest throughput if throughput falls beyond it. Compares only
+    /// blocks that overlap in time: an upstream that has become slow as a whole is always full, and its
+    /// blocks at lower levels are from before it slowed down, which is no reason for a cut.
     fn cut_at_falling_throughput(&mut self, index: usize, now: Moment) {
         let Some(here) = self.levels[index].last else { return };
         let throughput =
--- a/crates/decide/src/placer/closed.rs
+++ b/crates/decide/src/placer/closed.rs
@@ -1,19 +1,20 @@
-//! Calls of VMs to which upstreams are closed: see [`crate::closed`].
+//! Calls of VMs to which upstreams are closed; see [`crate::closed`].
 //!
-//! Load: an upstream, or all of a service at once, want rest from a VM, each for a time of its own. Harm
-//! prevented: the VM's calls wait in the queue for upstreams that they may not use until their time is over, and
-//! hold up calls of other VMs. So a call of a VM to which all are closed for longer than it can usefully wait is
-//! refused at once, as not run: other VMs may well be served.
+//! An upstream, or all upstreams of a service, may ask a VM for rest, each for a time of its own. The VM's
+//! calls would wait in the queue until their deadline for upstreams that they may not use, and delay calls
+//! of other VMs. So a call is refused at once, as not run, if all upstreams are closed to its VM for longer
+//! than it can usefully wait. A retry through another VM may succeed.
 
 use super::{PlacerAction, ServicePlacer, queue::WaitingAsk};
 use model::{call::RefusalReason, moment::Moment, slot::SlotAsk};
 use std::time::Duration;
 
-/// When a call should come back at the latest: its next try most likely goes through another VM.
+/// The longest retry-after time of such a refusal. It is short because the caller's retry most likely goes
+/// through another VM.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl ServicePlacer {
-    /// Returns for how long an upstream takes no calls from the VM of an ask that came `ago`.
+    /// Returns how much longer an upstream accepts no calls from the VM of an ask that arrived `ago`.
     pub(super) fn closed_for(&self, ask: &SlotAsk, target: u32, ago: Duration) -> Duration {
         if ask.closed.is_empty() {
             return Duration::ZERO;
@@ -22,20 +23,20 @@
         ask.closed_for(&announcement.upstream, announcement.incarnation, ago)
     }
 
-    /// Returns when a call should come back whose VM no upstream takes calls from in useful time.
+    /// Returns the retry-after time of a call if no upstream accepts calls from its VM in useful time.
     pub(super) fn closed_retry_after(&self, waiting: &WaitingAsk, now: Moment) -> Option<Duration> {
         if waiting.ask.closed.is_empty() {
             return None;
         }
         let waited = now.since(waiting.since);
-        let members = self.targets.iter().filter(|(_, target)| target.is_active());
-        let closed = members.map(|(target, _)| self.closed_for(&waiting.ask, target, waited));
+        let active = self.targets.iter().filter(|(_, target)| target.is_active());
+        let closed = active.map(|(target, _)| self.closed_for(&waiting.ask, target, waited));
         let opens = closed.min().filter(|closed| !closed.is_zero())?;
-        let useful = waiting.good_start.unwrap_or(waiting.latest_start);
-        (now + opens > useful).then(|| opens.min(MAX_RETRY_AFTER))
+        let useful_until = waiting.good_start.unwrap_or(waiting.latest_start);
+        (now + opens > useful_until).then(|| opens.min(MAX_RETRY_AFTER))
     }
 
-    /// Refuses calls in the queue to whose VMs the last upstream in useful time has been lost.
+    /// Refuses the queued calls for which no upstream opens in useful time any more, since others were lost.
     pub(super) fn refuse_closed(&mut self, now: Moment, actions: &mut Vec<PlacerAction>) {
         if !self.queue.any_closed() {
             return;
