--- a/crates/decide/benches/bounds_decide.rs
+++ b/crates/decide/benches/bounds_decide.rs
@@ -1,7 +1,7 @@
-//! What one decision costs, and how the cost grows.
+//! The cost of one placement decision, and how it grows with the number of upstreams and services.
 //!
-//! A decision is an ask that is granted at once and its settle. The bounds are ratios and counts: the
-//! time may grow as a logarithm does, and the allocations of a decision do not grow at all.
+//! A decision is an ask that is granted at once, and its settle. The bounds are ratios and counts: the
+//! time may grow logarithmically, and the number of allocations must not grow at all.
 
 #[path = "../tests/support/build.rs"]
 #[allow(dead_code, missing_docs, unreachable_pub)]
@@ -26,19 +26,19 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// From 15 upstreams to 1,000 a logarithm grows by 2.6; caches take their part besides.
+/// The bound for 1,000 upstreams against 15. A logarithm grows 2.6 times; cache misses add to that.
 const MAX_UPSTREAM_GROWTH: f64 = 4.0;
 
-/// From 4 services to 6,000 the state no longer fits into the processor's caches.
+/// The bound for 6,000 services against 4. The state of so many no longer fits into the processor's caches.
 const MAX_SERVICE_GROWTH: f64 = 8.0;
 
-/// Ordered maps allocate a node now and then; the rest of a decision allocates nothing.
+/// Ordered maps occasionally allocate a node; the rest of a decision allocates nothing.
 const MAX_ALLOCATIONS: f64 = 1.0;
 
-/// Cancelling one of 4,000 waiting calls may cost so many times what it costs with 40.
+/// The bound for cancelling one of 4,000 queued calls against one of 40.
 const MAX_CANCEL_GROWTH: f64 = 5.0;
 
-/// Asks made beforehand, so that only decisions are measured.
+/// Asks created in advance, so that only decisions are measured.
 struct PreparedAsks {
     entries: Vec<MemberName>,
     asks: Vec<SlotAsk>,
@@ -60,10 +60,10 @@
     }
 }
 
-/// How many calls hold slots while decisions are measured.
+/// The number of calls that hold slots while decisions are measured.
 const HELD_SLOTS: u64 = 24;
 
-/// Opens a placer with half of its slots or so in use.
+/// Returns a placer with [`HELD_SLOTS`] slots in use: 24 of 60 with 15 upstreams.
 fn busy_placer(upstreams: usize) -> ServicePlacer {
     let (mut placer, prepared) = (placer(upstreams, 256), PreparedAsks::new());
     let mut actions = Vec::new();
@@ -97,7 +97,7 @@
     found
 }
 
-/// Runs decisions over the placers in a scattered order and returns nanoseconds and allocations of one.
+/// Runs decisions on the placers in a scattered order. Returns the nanoseconds and allocations per decision.
 fn measure_decisions(placers: &mut [ServicePlacer], count: u64) -> (f64, f64) {
     let prepared = PreparedAsks::new();
     let mut actions = Vec::with_capacity(64);
@@ -127,14 +127,14 @@
     (spent.as_nanos() as f64 / count as f64, allocations as f64 / count as f64)
 }
 
-/// Returns the least of a few runs, which the machine's other work disturbed least.
+/// Returns the fastest of three runs, the one least disturbed by other work on the machine.
 fn fastest_of_three(mut run: impl FnMut() -> (f64, f64)) -> (f64, f64) {
     let runs: Vec<(f64, f64)> = (0..3).map(|_| run()).collect();
     let by_time = |a: &&(f64, f64), b: &&(f64, f64)| a.0.total_cmp(&b.0);
     runs.iter().min_by(by_time).copied().unwrap_or_default()
 }
 
-/// Returns the nanoseconds of a cancel among `waiting` calls.
+/// Returns the nanoseconds per cancel among `waiting` queued calls.
 fn cancel_ns(waiting: u64) -> f64 {
     let prepared = PreparedAsks::new();
     let mut placer = placer(1, u32::MAX);
@@ -174,13 +174,13 @@
         ));
         rows.push(row);
     }
-    // What docs/CAPACITY.md is worked out from.
+    // docs/CAPACITY.md is computed from this figure.
     print_line(&format!("slope decide.placement-ns {:.0} ns", rows[1].0));
     let upstream_growth = rows[2].0 / rows[0].0;
     let mut services = Vec::new();
     for count in [4, 100, 6_000] {
         let mut placers: Vec<_> = (0..count).map(|_| busy_placer(28)).collect();
-        // Each placer is asked some times first, so that it has its usual state.
+        // Warm up each placer, so that it has its usual state.
         measure_decisions(&mut placers, count as u64 * 20);
         let row = fastest_of_three(|| measure_decisions(&mut placers, 200_000));
         print_line(&format!("   28 upstreams, {count:>5} services {:>9.0} {:>12.2}", row.0, row.1));
--- a/crates/decide/benches/bounds_place.rs
+++ b/crates/decide/benches/bounds_place.rs
@@ -1,10 +1,10 @@
-//! Ways to place calls, compared: how long calls wait, how often slots are overfilled, and how many
-//! messages it costs.
+//! Compares placement strategies: how long calls wait, how often slots are overfilled, and how many messages
+//! a call costs.
 //!
-//! Each upstream works on as many calls as it has slots; what comes on top waits inside of it, first
-//! come, first served. Entries reach the placer in 1.5 ms, one way, as at the Guild. A call's wait is
-//! the time from its arrival at the entry until an upstream works on it, without the way there, which
-//! is the same for all.
+//! Each upstream works on as many calls as it has slots and queues the others, first come, first served. An
+//! entry's message reaches the placer in 1.5 ms, as in the Guild's deployment. A call's wait is the time from
+//! its arrival at the entry until an upstream works on it, without the delay from entry to upstream, which is
+//! the same for all strategies.
 
 #[path = "../tests/support/build.rs"]
 #[allow(dead_code, missing_docs, unreachable_pub)]
@@ -25,12 +25,13 @@
 const UPSTREAMS: usize = 12;
 const SLOTS: u32 = 4;
 const ENTRIES: usize = 40;
+/// The routes: the fraction of calls and the mean service time in milliseconds.
 const ROUTES: [(f64, f64); 2] = [(0.8, 30.0), (0.2, 200.0)];
 const MEAN_SERVICE_TIME_S: f64 = 0.064;
 const NETWORK_DELAY_US: u64 = 1_500;
 const GOSSIP_INTERVAL_US: u64 = 200_000;
 const GOSSIP_FANOUT: f64 = 3.0;
-/// For how long an entry keeps a slot that was granted ahead and is not in use.
+/// How long an entry keeps an unused slot that was granted ahead.
 const SLOT_HOLD_US: u64 = 20_000;
 const CALLS: u64 = 200_000;
 
@@ -63,23 +64,27 @@
         call: u64,
         upstream: usize,
     },
-    /// The placer hears an ask, or that a slot is free.
+    /// An ask reaches the placer.
     Ask {
         call: u64,
     },
+    /// A settle reaches the placer.
     Settle {
         call: u64,
     },
     Gossip,
+    /// An entry has kept an unused slot long enough.
     GiveBack {
         entry: usize,
         number: u64,
     },
+    /// A returned slot reaches the placer that grants ahead.
     Freed {
         upstream: usize,
     },
 }
 
+/// A call in flight.
 struct Call {
     arrived: u64,
     entry: usize,
@@ -109,8 +114,9 @@
     gossiped_load: Vec<u32>,
     placer: ServicePlacer,
     actions: Vec<PlacerAction>,
-    /// The counts and the queue of the placer that grants ahead.
+    /// The slots of each upstream that the placer granting ahead has given out.
     granted: Vec<u32>,
+    /// The queue of the placer that grants ahead.
     queue: VecDeque<u64>,
     kept_slots: Vec<VecDeque<KeptSlot>>,
     waits: Vec<u64>,
@@ -247,7 +253,7 @@
         }
     }
 
-    /// Returns the load by the last gossip, with what this entry has sent besides.
+    /// Returns the load of an upstream by the last gossip, with the calls that this entry has sent there.
     fn known_load(&self, entry: usize, upstream: usize) -> u32 {
         self.gossiped_load[upstream] + self.sent_by_entry[entry][upstream]
     }
@@ -385,7 +391,7 @@
         let best_alone =
             measurements[..3].iter().map(|row| row.wait_p99_ms).fold(f64::MAX, f64::min);
         passed &= chosen.overfilled == 0.0;
-        // Near saturation the way to the placer and back, for which a slot stands empty, takes its part.
+        // Near saturation the round trip to the placer, during which a slot is empty, matters more.
         let share = if load < 0.8 { 0.25 } else { 0.75 };
         passed &= chosen.wait_p99_ms <= best_alone * share;
         passed &= chosen.messages <= 3.0;
