--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -49,7 +49,7 @@
     answers: u32,
     sum: f64,
     began: Moment,
-    last: Option<ResponseBlock>,
+    last_block: Option<ResponseBlock>,
 }
 
 impl ConcurrencyLevel {
@@ -64,7 +64,7 @@
             return false;
         }
         let mean = self.sum / f64::from(self.answers);
-        self.last = Some(ResponseBlock { mean, began: self.began, ended: now });
+        self.last_block = Some(ResponseBlock { mean, began: self.began, ended: now });
         (self.answers, self.sum) = (0, 0.0);
         true
     }
@@ -73,7 +73,9 @@
 /// The concurrency limit of one upstream.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
+    /// The announced slots.
     slots: u32,
+    /// The limit found by additive increase and multiplicative decrease.
     window: f64,
     /// Below this size the window doubles with each round instead of growing by one.
     slow_start_until: f64,
@@ -159,11 +161,11 @@
     /// blocks that overlap in time: an upstream that has become slow as a whole is always full, and its
     /// blocks at lower levels are from before it slowed down, which is no reason for a cut.
     fn cut_at_falling_throughput(&mut self, index: usize, now: Moment) {
-        let Some(here) = self.levels[index].last else { return };
+        let Some(here) = self.levels[index].last_block else { return };
         let throughput =
             |index: usize, block: ResponseBlock| (index + 1) as f64 / block.mean.max(1e-3);
         let fewer = (0..index).filter_map(|fewer| {
-            let block = self.levels[fewer].last.filter(|block| block.ended > here.began)?;
+            let block = self.levels[fewer].last_block.filter(|block| block.ended > here.began)?;
             (block.began < here.ended).then(|| (fewer, throughput(fewer, block)))
         });
         let Some((best, most)) = fewer.max_by(|a, b| a.1.total_cmp(&b.1)) else { return };
