--- a/crates/decide/tests/support/harness.rs
+++ b/crates/decide/tests/support/harness.rs
@@ -1,4 +1,4 @@
-//! One placer, asked and told by hand.
+//! Drives one placer by hand, event by event.
 
 use super::build::{self, announcement, ask, settings, settle};
 use decide::placer::{AskId, PlacerAction, ServicePlacer};
@@ -20,7 +20,7 @@
     slots: u32,
 }
 
-/// What came of an ask at once.
+/// The immediate outcome of an ask.
 #[derive(Clone, Debug)]
 pub enum AskOutcome {
     Grant(SlotGrant),
@@ -49,21 +49,21 @@
 }
 
 impl PlacerHarness {
-    /// Opens a placer with warm upstreams spread over four domains.
+    /// Opens a placer whose recount has ended, with warm upstreams in four failure domains.
     pub fn open(rule: ServiceRule, upstreams: usize, slots: u32) -> Self {
-        let mut direct = Self::open_recounting(rule, upstreams, slots);
+        let mut harness = Self::open_recounting(rule, upstreams, slots);
         let mut actions = Vec::new();
-        direct.placer.finish_recount(direct.now, &mut actions);
-        direct
+        harness.placer.finish_recount(harness.now, &mut actions);
+        harness
     }
 
-    /// The same before the recount has ended.
+    /// Opens a placer whose recount has not ended.
     pub fn open_recounting(rule: ServiceRule, upstreams: usize, slots: u32) -> Self {
         let placer = ServicePlacer::open(settings(rule, 5));
         let now = Moment::from_millis(1_000);
-        let mut direct = Self { placer, now, calls: 0, sequence: 1, upstreams, slots };
-        direct.renew(0..upstreams, slots);
-        direct
+        let mut harness = Self { placer, now, calls: 0, sequence: 1, upstreams, slots };
+        harness.renew(0..upstreams, slots);
+        harness
     }
 
     /// Renews the leases of upstreams.
@@ -121,7 +121,7 @@
         actions
     }
 
-    /// Runs calls one after the other; `outcome` tells how each ends by entry and upstream.
+    /// Runs calls one after the other; `outcome` returns how each ends, by entry and upstream.
     pub fn run_calls(
         &mut self,
         calls: usize,
--- a/crates/decide/tests/support/outcome.rs
+++ b/crates/decide/tests/support/outcome.rs
@@ -1,4 +1,4 @@
-//! What callers and operators saw of a world.
+//! What callers and operators observe in a simulation.
 
 use super::build::upstream_number;
 use decide::placer::{EjectReason, PlacerAction, ReturnReason, ServicePlacer};
@@ -23,18 +23,18 @@
     pub crashes: u64,
     pub waits_us: Vec<u64>,
     pub took_us: Vec<u64>,
-    /// When, with how much time left, and why.
+    /// When calls were refused, how much time each had left, and why.
     pub refusals: Vec<(Moment, Duration, RefusalReason)>,
-    /// Calls that had no slot yet when their deadline came: a refusal was held back.
+    /// Calls that had no slot yet at their deadline, so that a refusal came too late.
     pub waiting_at_deadline: u64,
     pub ejections: Vec<(Moment, usize, EjectReason)>,
     pub returns: Vec<(Moment, usize, ReturnReason)>,
     pub poisoned: u64,
-    /// When each upstream was last given work, and how much in all.
+    /// When each upstream was last given a call, and how many calls in all.
     pub last_given: Vec<Moment>,
     pub given: Vec<u64>,
     pub failed_tries: Vec<u64>,
-    /// Hurt tries by second.
+    /// Failed attempts by second.
     pub failed_tries_by_second: Vec<u64>,
     pub least_healthy_slots: u32,
 }
