--- a/crates/decide/tests/support/quota_simulation.rs
+++ b/crates/decide/tests/support/quota_simulation.rs
@@ -278,7 +278,7 @@
                 self.schedule(now + REQUEST_PERIOD, Event::Tick);
             }
             Event::RequestArrives { holder, owner, request } => {
-                self.answer_request(holder, owner, request, now)
+                self.answer_request(holder, owner, request, now);
             }
             Event::AnswerArrives { holder, lease } => self.handle_lease(holder, lease, now),
             Event::FaultBegins(fault) => self.begin_fault(fault, now),
@@ -407,7 +407,10 @@
                     Event::RequestArrives { holder, owner, request },
                 ),
                 false => {
-                    self.schedule(now + OWNER_TIMEOUT, Event::AnswerArrives { holder, lease: None })
+                    self.schedule(
+                        now + OWNER_TIMEOUT,
+                        Event::AnswerArrives { holder, lease: None },
+                    );
                 }
             }
         }
