--- a/crates/decide/benches/bounds_decide.rs
+++ b/crates/decide/benches/bounds_decide.rs
@@ -76,7 +76,7 @@
 
 fn placer(upstreams: usize, queue_limit: u32) -> ServicePlacer {
     let rule = ServiceRule { queue_limit, ..ServiceRule::default() };
-    let mut placer = ServicePlacer::open(build::settings(rule, 1));
+    let mut placer = ServicePlacer::new(build::settings(rule, 1));
     let mut actions = Vec::new();
     placer.finish_recount(Moment::ZERO, &mut actions);
     for number in 0..upstreams {
--- a/crates/decide/benches/bounds_place.rs
+++ b/crates/decide/benches/bounds_place.rs
@@ -121,7 +121,7 @@
 impl Simulation {
     fn open(way: Way, load: f64) -> Self {
         let rule = ServiceRule { queue_limit: 10_000, hedge: false, ..ServiceRule::default() };
-        let mut placer = ServicePlacer::open(build::settings(rule, 1));
+        let mut placer = ServicePlacer::new(build::settings(rule, 1));
         let mut actions = Vec::new();
         placer.finish_recount(Moment::ZERO, &mut actions);
         for number in 0..UPSTREAMS {
@@ -209,7 +209,7 @@
         let call = self.next;
         let entry = self.random.random_range(0..ENTRIES);
         let route = usize::from(self.random.random::<f64>() >= ROUTES[0].0);
-        let work = build::answer_time(ROUTES[route].1, &mut self.random);
+        let work = build::draw_answer_time(ROUTES[route].1, &mut self.random);
         self.calls.insert(call, Call { arrived: self.now, entry, route, work, grant: None });
         match self.way {
             Way::EachCall => self.ask_placer(call),
--- a/crates/decide/benches/traffic/detectors.rs
+++ b/crates/decide/benches/traffic/detectors.rs
@@ -164,7 +164,7 @@
 impl OnePlacer {
     pub fn open(rule: ServiceRule, upstreams: usize, slots: u32, seed: u64) -> Self {
         let mut one = Self {
-            placer: ServicePlacer::open(build::settings(rule, seed)),
+            placer: ServicePlacer::new(build::settings(rule, seed)),
             upstreams,
             slots,
             grants: BTreeMap::new(),
--- a/crates/decide/benches/traffic/mod.rs
+++ b/crates/decide/benches/traffic/mod.rs
@@ -6,7 +6,7 @@
 pub mod build;
 pub mod detectors;
 
-use build::answer_time;
+use build::draw_answer_time;
 use detectors::FailureDetector;
 use model::{call::OutcomeClass, moment::Moment};
 use rand::{Rng, SeedableRng};
@@ -190,7 +190,7 @@
     fn draw(&mut self, entry: usize, route: usize, upstream: usize) -> (OutcomeClass, Duration) {
         let bad = upstream == 0 && self.now >= self.onset;
         let fault = if bad { self.fault } else { HEALTHY };
-        let mut took = answer_time(ROUTES[route].1 * fault.slow, &mut self.random);
+        let mut took = draw_answer_time(ROUTES[route].1 * fault.slow, &mut self.random);
         let mut share = BACKGROUND + fault.fail_share;
         if self.noisy {
             if self.noise.path_lost(entry, upstream, self.now) {
--- a/crates/decide/src/placer/closed.rs
+++ b/crates/decide/src/placer/closed.rs
@@ -31,13 +31,13 @@
         let members = self.targets.iter().filter(|(_, target)| target.is_member());
         let closed = members.map(|(target, _)| self.closed_for(&waiting.ask, target, waited));
         let opens = closed.min().filter(|closed| !closed.is_zero())?;
-        let useful = waiting.good_start.unwrap_or(waiting.latest_start);
+        let useful = waiting.objective_start.unwrap_or(waiting.latest_start);
         (now + opens > useful).then(|| opens.min(COME_BACK_ELSEWHERE))
     }
 
     /// Refuses calls in the queue to whose VMs the last upstream in useful time has been lost.
     pub(super) fn refuse_closed_out(&mut self, now: Moment, actions: &mut Vec<PlacerAction>) {
-        if !self.queue.any_closed() {
+        if !self.queue.has_closed_upstreams() {
             return;
         }
         for place in self.queue.matching(|waiting| self.closed_out(waiting, now).is_some()) {
--- a/crates/decide/src/placer/spread.rs
+++ b/crates/decide/src/placer/locality.rs
@@ -16,11 +16,11 @@
 /// healthy upstream is ejected for all. Reason for the limit: a broken path is tried again after the
 /// time that an ejection would have lasted; nobody else tells when it works.
 #[derive(Debug, Default)]
-pub(super) struct PathFaults {
+pub(super) struct BrokenPaths {
     until: BTreeMap<(PathSource, u32), Moment>,
 }
 
-impl PathFaults {
+impl BrokenPaths {
     pub(super) fn add(&mut self, source: PathSource, target: u32, until: Moment) {
         self.until.insert((source, target), until);
     }
@@ -41,10 +41,10 @@
 }
 
 /// How much one answer weighs in a measured cost.
-const WEIGHT: f64 = 1.0 / 64.0;
+const COST_WEIGHT: f64 = 1.0 / 64.0;
 
 /// How much dearer the entry's own domain may be than another before calls leave it.
-const HOME_FACTOR: f64 = 1.5;
+const LOCAL_COST_FACTOR: f64 = 1.5;
 
 /// What answers cost between failure domains: the time taken, in parts of the route's median, so that
 /// long and short routes can be compared.
@@ -56,16 +56,16 @@
 impl DomainCosts {
     pub(super) fn note(&mut self, from: u32, to: u32, ratio: f64) {
         let cost = self.costs.entry((from, to)).or_insert(1.0);
-        *cost += (ratio.min(10.0) - *cost) * WEIGHT;
+        *cost += (ratio.min(10.0) - *cost) * COST_WEIGHT;
     }
 
     /// Returns the cost in quarters: smaller differences are noise.
-    pub(super) fn quarters(&self, from: u32, to: u32) -> u32 {
+    pub(super) fn cost_in_quarters(&self, from: u32, to: u32) -> u32 {
         (self.cost(from, to) * 4.0).round() as u32
     }
 
-    pub(super) fn home_is_worth_it(&self, home: u32, other: u32) -> bool {
-        self.cost(home, home) <= self.cost(home, other) * HOME_FACTOR
+    pub(super) fn prefers_local(&self, local: u32, remote: u32) -> bool {
+        self.cost(local, local) <= self.cost(local, remote) * LOCAL_COST_FACTOR
     }
 
     fn cost(&self, from: u32, to: u32) -> f64 {
--- a/crates/decide/tests/load.rs
+++ b/crates/decide/tests/load.rs
@@ -5,23 +5,23 @@
 use googletest::prelude::*;
 use model::{call::CallClass, moment::Moment};
 use std::time::Duration;
-use support::{Condition, WELL, World, WorldPlan};
+use support::{HEALTHY, Simulation, SimulationPlan, UpstreamCondition};
 
-fn plans(seed: u64) -> [WorldPlan; 2] {
-    [WorldPlan::guild(seed), WorldPlan::convoy(seed)]
+fn plans(seed: u64) -> [SimulationPlan; 2] {
+    [SimulationPlan::guild(seed), SimulationPlan::convoy(seed)]
 }
 
 // An ordinary minute: nothing is refused, nobody waits, nothing is ejected.
 #[gtest]
 fn an_ordinary_minute_costs_nothing() {
     for plan in plans(1) {
-        let mut world = World::open(plan);
-        world.run_seconds(60);
-        expect_that!(world.outcome.total().refused, eq(0));
-        expect_that!(world.outcome.shed, eq(0));
-        expect_that!(world.outcome.wait_p99_ms(), lt(10.0));
-        expect_that!(world.outcome.tries_per_call(), le(1.1));
-        expect_that!(world.ejections(), is_empty());
+        let mut simulation = Simulation::new(plan);
+        simulation.run_seconds(60);
+        expect_that!(simulation.outcome.total().refused, eq(0));
+        expect_that!(simulation.outcome.shed, eq(0));
+        expect_that!(simulation.outcome.wait_p99_ms(), lt(10.0));
+        expect_that!(simulation.outcome.tries_per_call(), le(1.1));
+        expect_that!(simulation.ejections(), is_empty());
     }
 }
 
@@ -30,13 +30,14 @@
 #[gtest]
 fn at_full_saturation_slots_do_useful_work_only() {
     for plan in plans(2) {
-        let mut world = World::open(WorldPlan { rate: Box::new(|_| 2_000.0), ..plan });
-        world.run_seconds(20);
-        let total = world.outcome.total();
+        let mut simulation =
+            Simulation::new(SimulationPlan { rate: Box::new(|_| 2_000.0), ..plan });
+        simulation.run_seconds(20);
+        let total = simulation.outcome.total();
         let possible = 48.0 / 0.064 * 20.0;
         expect_that!(total.answered as f64, gt(possible * 0.85));
         expect_that!(total.late * 1_000, le(total.answered));
-        expect_that!(world.outcome.waiting_at_deadline, eq(0));
+        expect_that!(simulation.outcome.waiting_at_deadline, eq(0));
     }
 }
 
@@ -44,15 +45,15 @@
 // The limits come down to what is real, so that few calls are shed.
 #[gtest]
 fn limits_follow_shed_answers_where_announced_slots_mislead() {
-    let plan = WorldPlan { slots: 12, real_slots: 3, ..WorldPlan::guild(3) };
-    let mut world = World::open(WorldPlan { rate: Box::new(|_| 1_000.0), ..plan });
-    world.run_seconds(10);
-    let early = world.outcome.shed;
-    world.run_seconds(20);
-    let late = (world.outcome.shed - early) / 2;
-    let given: u64 = world.outcome.given.iter().sum();
+    let plan = SimulationPlan { slots: 12, real_slots: 3, ..SimulationPlan::guild(3) };
+    let mut simulation = Simulation::new(SimulationPlan { rate: Box::new(|_| 1_000.0), ..plan });
+    simulation.run_seconds(10);
+    let early = simulation.outcome.shed;
+    simulation.run_seconds(20);
+    let late = (simulation.outcome.shed - early) / 2;
+    let given: u64 = simulation.outcome.given.iter().sum();
     expect_that!(late * 20, lt(given / 3), "shed in ten seconds, of what was given");
-    expect_that!(world.ejections(), is_empty());
+    expect_that!(simulation.ejections(), is_empty());
 }
 
 // A failure domain is lost at high load, and the rest work on fewer calls than they announce. Work
@@ -62,40 +63,44 @@
 fn the_work_of_a_lost_domain_does_not_break_the_next() {
     for plan in plans(4) {
         let floor = plan.rule.floor_slots;
-        let lost = |n: usize, now: Moment| Condition {
+        let lost = |n: usize, now: Moment| UpstreamCondition {
             up: !n.is_multiple_of(4) || now < Moment::from_millis(10_000),
-            ..WELL
+            ..HEALTHY
         };
-        let mut world =
-            World::open(WorldPlan { condition: Box::new(lost), rate: Box::new(|_| 650.0), ..plan });
-        world.run_seconds(10);
-        let before = world.outcome.total();
-        world.run_seconds(20);
-        let total = world.outcome.total();
+        let mut simulation = Simulation::new(SimulationPlan {
+            condition: Box::new(lost),
+            rate: Box::new(|_| 650.0),
+            ..plan
+        });
+        simulation.run_seconds(10);
+        let before = simulation.outcome.total();
+        simulation.run_seconds(20);
+        let total = simulation.outcome.total();
         let answered = (total.answered - before.answered) as f64;
         let possible = 36.0 / 0.0685 * 20.0;
         expect_that!(answered, gt(possible * 0.85));
         expect_that!((total.late - before.late) as f64, le(answered * 0.01));
-        expect_that!(world.outcome.shed as f64, le(answered * 0.01));
-        expect_that!(world.outcome.waiting_at_deadline, le(5));
-        let others = world.ejections().iter().filter(|(_, n, _)| n % 4 != 0).count();
+        expect_that!(simulation.outcome.shed as f64, le(answered * 0.01));
+        expect_that!(simulation.outcome.waiting_at_deadline, le(5));
+        let others = simulation.ejections().iter().filter(|(_, n, _)| n % 4 != 0).count();
         expect_that!(others, eq(0));
-        expect_that!(world.placer.capacity().announced_slots, ge(floor));
+        expect_that!(simulation.placer.capacity().announced_slots, ge(floor));
     }
 }
 
 // Payments: none is run a second time unless it is proved that it did not run.
 #[gtest]
 fn calls_that_are_not_idempotent_are_neither_hedged_nor_run_again() {
-    let slow = |n: usize, _| Condition { slow: if n == 2 { 10.0 } else { 1.0 }, ..WELL };
-    let mut world = World::open(WorldPlan {
+    let slow =
+        |n: usize, _| UpstreamCondition { slowdown: if n == 2 { 10.0 } else { 1.0 }, ..HEALTHY };
+    let mut simulation = Simulation::new(SimulationPlan {
         class: CallClass::KeyRequired,
         condition: Box::new(slow),
-        ..WorldPlan::guild(5)
+        ..SimulationPlan::guild(5)
     });
-    world.run_seconds(30);
-    expect_that!(world.outcome.hedges, eq(0));
-    expect_that!(world.outcome.tries, eq(world.outcome.total().calls));
+    simulation.run_seconds(30);
+    expect_that!(simulation.outcome.hedges, eq(0));
+    expect_that!(simulation.outcome.tries, eq(simulation.outcome.total().calls));
 }
 
 // One upstream is slow, and there is no evidence yet. Second tries at others keep its callers from
@@ -103,7 +108,7 @@
 // ordinary calls; the other carries the slow upstream's, where it is one of two dozen.
 #[gtest]
 fn second_tries_cut_the_wait_behind_a_slow_upstream() {
-    let of_two_dozen = |plan: &mut WorldPlan| {
+    let of_two_dozen = |plan: &mut SimulationPlan| {
         // An ejection would hide what is looked at here.
         plan.rule.false_ejection_price = u32::MAX;
         plan.upstreams = 24;
@@ -123,35 +128,37 @@
 }
 
 /// Counts the answers that took long while one upstream was slow for 2 s, without and with hedges.
-fn answers_behind_a_slow_upstream(change: impl Fn(&mut WorldPlan)) -> [usize; 2] {
+fn answers_behind_a_slow_upstream(change: impl Fn(&mut SimulationPlan)) -> [usize; 2] {
     let mut took = [Vec::new(), Vec::new()];
     for (hedge, took) in [false, true].into_iter().zip(&mut took) {
         for seed in 60..66 {
             let slow = |n: usize, now: Moment| {
                 let bad = n == 2 && now > Moment::from_millis(5_000);
-                Condition { slow: if bad { 10.0 } else { 1.0 }, ..WELL }
+                UpstreamCondition { slowdown: if bad { 10.0 } else { 1.0 }, ..HEALTHY }
             };
-            let mut plan = WorldPlan { condition: Box::new(slow), ..WorldPlan::guild(seed) };
+            let mut plan =
+                SimulationPlan { condition: Box::new(slow), ..SimulationPlan::guild(seed) };
             plan.rule.hedge = hedge;
             plan.routes = vec![(1.0, 30.0)];
             change(&mut plan);
-            let mut world = World::open(plan);
-            world.run_seconds(7);
-            expect_that!(world.outcome.tries_per_call(), le(1.1));
-            took.append(&mut world.outcome.took_us);
+            let mut simulation = Simulation::new(plan);
+            simulation.run_seconds(7);
+            expect_that!(simulation.outcome.tries_per_call(), le(1.1));
+            took.append(&mut simulation.outcome.took_us);
         }
     }
     // Twice the 99th percentile of a healthy upstream.
     took.map(|took| took.iter().filter(|&&us| us > 170_000).count())
 }
 
-// The sums of the world add up: each call has exactly one end.
+// The sums of the simulation add up: each call has exactly one end.
 #[gtest]
 fn each_call_has_one_end() {
-    let mut world = World::open(WorldPlan { rate: Box::new(|_| 1_500.0), ..WorldPlan::guild(7) });
-    world.run_seconds(10);
-    let total = world.outcome.total();
+    let mut simulation =
+        Simulation::new(SimulationPlan { rate: Box::new(|_| 1_500.0), ..SimulationPlan::guild(7) });
+    simulation.run_seconds(10);
+    let total = simulation.outcome.total();
     let ended = total.answered + total.refused + total.failed + total.late;
     expect_that!(total.calls - ended, lt(400), "only calls that are under way have none");
-    expect_that!(world.now, eq(Moment::ZERO + Duration::from_secs(10)));
+    expect_that!(simulation.now, eq(Moment::ZERO + Duration::from_secs(10)));
 }
--- a/crates/decide/tests/rows.rs
+++ b/crates/decide/tests/rows.rs
@@ -12,7 +12,7 @@
 };
 use std::time::Duration;
 use support::{
-    Condition, WELL, World, WorldPlan, build,
+    HEALTHY, Simulation, SimulationPlan, UpstreamCondition, build,
     direct::{Direct, ejected, returned},
     outcome::health_of,
 };
@@ -21,22 +21,22 @@
     Moment::from_millis(10_000)
 }
 
-fn plans(seed: u64) -> [WorldPlan; 2] {
-    [WorldPlan::guild(seed), WorldPlan::convoy(seed)]
+fn plans(seed: u64) -> [SimulationPlan; 2] {
+    [SimulationPlan::guild(seed), SimulationPlan::convoy(seed)]
 }
 
 /// One upstream is in a condition from the onset on.
-fn one_bad(upstream: usize, condition: Condition) -> support::ConditionPlan {
-    Box::new(move |n, now| if n == upstream && now >= onset() { condition } else { WELL })
+fn one_bad(upstream: usize, condition: UpstreamCondition) -> support::ConditionFn {
+    Box::new(move |n, now| if n == upstream && now >= onset() { condition } else { HEALTHY })
 }
 
-fn first_ejection(world: &World, upstream: usize) -> Option<Duration> {
-    let found = world.ejections().iter().find(|(_, n, _)| *n == upstream);
+fn first_ejection(simulation: &Simulation, upstream: usize) -> Option<Duration> {
+    let found = simulation.ejections().iter().find(|(_, n, _)| *n == upstream);
     found.map(|(at, _, _)| at.since(onset()))
 }
 
-fn falsely_out(world: &World, bad: &[usize]) -> usize {
-    world.ejections().iter().filter(|(_, n, _)| !bad.contains(n)).count()
+fn falsely_out(simulation: &Simulation, bad: &[usize]) -> usize {
+    simulation.ejections().iter().filter(|(_, n, _)| !bad.contains(n)).count()
 }
 
 // Callers see three in ten of their calls at one upstream fail. It goes on answering probes. Its
@@ -46,15 +46,15 @@
 fn row_09_an_upstream_that_fails_30_percent_is_ejected_and_the_floor_kept() {
     for plan in plans(9) {
         let floor = plan.rule.floor_slots;
-        let mut world = World::open(WorldPlan {
-            condition: one_bad(3, Condition { fail_share: 0.3, ..WELL }),
+        let mut simulation = Simulation::new(SimulationPlan {
+            condition: one_bad(3, UpstreamCondition { fail_share: 0.3, ..HEALTHY }),
             ..plan
         });
-        world.run_seconds(30);
-        expect_that!(first_ejection(&world, 3), some(lt(Duration::from_secs(2))));
-        expect_that!(falsely_out(&world, &[3]), eq(0));
-        expect_that!(world.outcome.least_healthy_slots, ge(floor));
-        expect_that!(world.outcome.answered_share(), gt(0.99));
+        simulation.run_seconds(30);
+        expect_that!(first_ejection(&simulation, 3), some(lt(Duration::from_secs(2))));
+        expect_that!(falsely_out(&simulation, &[3]), eq(0));
+        expect_that!(simulation.outcome.least_healthy_slots, ge(floor));
+        expect_that!(simulation.outcome.answered_share(), gt(0.99));
     }
 }
 
@@ -65,13 +65,14 @@
     for fail_share in [0.5, 1.0] {
         for plan in plans(10) {
             let floor = plan.rule.floor_slots;
-            let condition = Condition { fail_share, ..WELL };
-            let bad = move |_, now| if now >= onset() { condition } else { WELL };
-            let mut world = World::open(WorldPlan { condition: Box::new(bad), ..plan });
-            world.run_seconds(40);
-            expect_that!(world.ejections().len(), le(1), "at a share of {fail_share}");
-            expect_that!(world.outcome.least_healthy_slots, ge(floor));
-            expect_that!(world.outcome.tries_per_call(), le(1.1));
+            let condition = UpstreamCondition { fail_share, ..HEALTHY };
+            let bad = move |_, now| if now >= onset() { condition } else { HEALTHY };
+            let mut simulation =
+                Simulation::new(SimulationPlan { condition: Box::new(bad), ..plan });
+            simulation.run_seconds(40);
+            expect_that!(simulation.ejections().len(), le(1), "at a share of {fail_share}");
+            expect_that!(simulation.outcome.least_healthy_slots, ge(floor));
+            expect_that!(simulation.outcome.tries_per_call(), le(1.1));
         }
     }
 }
@@ -82,15 +83,15 @@
 #[gtest]
 fn row_11_a_straggler_among_long_and_short_work_is_found_and_no_other() {
     for plan in plans(11) {
-        let mut world = World::open(WorldPlan {
-            condition: one_bad(3, Condition { slow: 10.0, ..WELL }),
+        let mut simulation = Simulation::new(SimulationPlan {
+            condition: one_bad(3, UpstreamCondition { slowdown: 10.0, ..HEALTHY }),
             ..plan
         });
-        world.run_seconds(60);
-        expect_that!(first_ejection(&world, 3), some(lt(Duration::from_secs(5))));
-        expect_that!(world.ejections()[0].2, eq(EjectReason::Latency));
-        expect_that!(falsely_out(&world, &[3]), eq(0));
-        expect_that!(world.outcome.answered_share(), gt(0.99));
+        simulation.run_seconds(60);
+        expect_that!(first_ejection(&simulation, 3), some(lt(Duration::from_secs(5))));
+        expect_that!(simulation.ejections()[0].2, eq(EjectReason::Latency));
+        expect_that!(falsely_out(&simulation, &[3]), eq(0));
+        expect_that!(simulation.outcome.answered_share(), gt(0.99));
     }
 }
 
@@ -102,17 +103,21 @@
     for plan in plans(12) {
         let bad = |n, now: Moment| {
             let second = now.as_micros() / 1_000_000;
-            if n == 3 && second % 20 >= 10 { Condition { fail_share: 1.0, ..WELL } } else { WELL }
+            if n == 3 && second % 20 >= 10 {
+                UpstreamCondition { fail_share: 1.0, ..HEALTHY }
+            } else {
+                HEALTHY
+            }
         };
-        let mut world = World::open(WorldPlan { condition: Box::new(bad), ..plan });
-        world.run_seconds(600);
-        let hurt = &world.outcome.hurt_by_second;
+        let mut simulation = Simulation::new(SimulationPlan { condition: Box::new(bad), ..plan });
+        simulation.run_seconds(600);
+        let hurt = &simulation.outcome.hurt_by_second;
         let sum = |from: usize, to: usize| {
             hurt[from.min(hurt.len())..to.min(hurt.len())].iter().sum::<u64>()
         };
         let (first, last) = (sum(0, 120), sum(480, 600));
         expect_that!(last * 3, le(first), "hurt in the first and the last two minutes");
-        expect_that!(falsely_out(&world, &[3]), eq(0));
+        expect_that!(falsely_out(&simulation, &[3]), eq(0));
     }
 }
 
@@ -212,17 +217,17 @@
 fn row_23_a_request_that_crashes_upstreams_takes_at_most_two() {
     for plan in plans(23) {
         let poison = 4_711;
-        let mut world = World::open(WorldPlan { poison: Some(poison), ..plan });
-        world.run_seconds(5);
+        let mut simulation = Simulation::new(SimulationPlan { poison: Some(poison), ..plan });
+        simulation.run_seconds(5);
         for resend in 0..60 {
-            world.send(resend % 36, poison);
+            simulation.send(resend % 36, poison);
             let pause = Duration::from_millis(if resend.is_multiple_of(3) { 1 } else { 700 });
-            world.run_until(world.now + pause);
+            simulation.run_until(simulation.now + pause);
         }
-        expect_that!(world.outcome.crashes, le(2));
-        expect_that!(world.outcome.poisoned, eq(1));
-        expect_that!(world.outcome.answered_share(), gt(0.99));
-        expect_that!(world.ejections(), is_empty());
+        expect_that!(simulation.outcome.crashes, le(2));
+        expect_that!(simulation.outcome.poisoned, eq(1));
+        expect_that!(simulation.outcome.answered_share(), gt(0.99));
+        expect_that!(simulation.ejections(), is_empty());
     }
 }
 
@@ -258,11 +263,12 @@
         let burst = |now| if now >= onset() { 7_000.0 } else { 400.0 };
         let mut callers = vec![0.05; 11];
         callers[0] = 0.5;
-        let mut world = World::open(WorldPlan { rate: Box::new(burst), callers, ..plan });
-        world.run_seconds(10);
-        let before: Vec<u64> = world.outcome.callers.iter().map(|c| c.answered).collect();
-        world.run_seconds(20);
-        let outcome = &world.outcome;
+        let mut simulation =
+            Simulation::new(SimulationPlan { rate: Box::new(burst), callers, ..plan });
+        simulation.run_seconds(10);
+        let before: Vec<u64> = simulation.outcome.callers.iter().map(|c| c.answered).collect();
+        simulation.run_seconds(20);
+        let outcome = &simulation.outcome;
         let answered: Vec<u64> =
             outcome.callers.iter().zip(before).map(|(c, before)| c.answered - before).collect();
         let least = answered[1..].iter().min().copied().unwrap_or(0);
@@ -277,7 +283,7 @@
             outcome.refusals.iter().filter(|(_, left, _)| *left > Duration::from_millis(1_000));
         expect_that!(early.count() * 100, ge(outcome.refusals.len() * 99));
         expect_that!(answered.iter().sum::<u64>() as f64, gt(20.0 * 600.0), "slots kept in use");
-        expect_that!(world.ejections(), is_empty());
+        expect_that!(simulation.ejections(), is_empty());
     }
 }
 
@@ -287,25 +293,25 @@
 fn row_26_a_third_starts_cold_at_the_peak_and_none_is_ejected() {
     for plan in plans(26) {
         let cold = |n: usize, now: Moment| {
-            let slow = if n.is_multiple_of(3) && now < onset() { 5.0 } else { 1.0 };
-            Condition { slow, ..WELL }
+            let slowdown = if n.is_multiple_of(3) && now < onset() { 5.0 } else { 1.0 };
+            UpstreamCondition { slowdown, ..HEALTHY }
         };
         let upstreams = plan.upstreams;
-        let mut world = World::open(WorldPlan {
+        let mut simulation = Simulation::new(SimulationPlan {
             condition: Box::new(cold),
             age_ms: Box::new(|n| if n.is_multiple_of(3) { 0 } else { 3_600_000 }),
             ..plan
         });
-        world.run_until(Moment::from_millis(2_000));
+        simulation.run_until(Moment::from_millis(2_000));
         let colds = (0..upstreams).step_by(3);
-        let given: u64 = colds.clone().map(|n| world.outcome.given[n]).sum();
-        let all: u64 = world.outcome.given.iter().sum();
+        let given: u64 = colds.clone().map(|n| simulation.outcome.given[n]).sum();
+        let all: u64 = simulation.outcome.given.iter().sum();
         expect_that!(given * 5, lt(all), "a third at full share would be given a third");
-        expect_that!(health_of(&world.placer, 0), some(eq(UpstreamHealth::Cold)));
-        world.run_until(Moment::from_millis(30_000));
-        expect_that!(world.ejections(), is_empty());
-        expect_that!(health_of(&world.placer, 0), some(eq(UpstreamHealth::Healthy)));
-        expect_that!(world.outcome.answered_share(), gt(0.97));
+        expect_that!(health_of(&simulation.placer, 0), some(eq(UpstreamHealth::Cold)));
+        simulation.run_until(Moment::from_millis(30_000));
+        expect_that!(simulation.ejections(), is_empty());
+        expect_that!(health_of(&simulation.placer, 0), some(eq(UpstreamHealth::Healthy)));
+        expect_that!(simulation.outcome.answered_share(), gt(0.97));
     }
 }
 
@@ -320,24 +326,28 @@
             let lost =
                 n.is_multiple_of(4) && (matches!(second, 15..25) || matches!(second, 40..50));
             let gray = n == 3 && (matches!(second, 12..30) || matches!(second, 42..60));
-            let slow = if n == 5 && second >= 20 { 10.0 } else { 1.0 };
-            Condition { up: !lost, fail_share: if gray { 0.3 } else { 0.0 }, slow }
+            let slowdown = if n == 5 && second >= 20 { 10.0 } else { 1.0 };
+            UpstreamCondition { up: !lost, fail_share: if gray { 0.3 } else { 0.0 }, slowdown }
         };
         let rate = Box::new(|_| 350.0);
-        let mut world =
-            World::open(WorldPlan { condition: Box::new(bad), rate, poison: Some(9), ..plan });
+        let mut simulation = Simulation::new(SimulationPlan {
+            condition: Box::new(bad),
+            rate,
+            poison: Some(9),
+            ..plan
+        });
         for second in 0..70 {
-            world.run_seconds(1);
+            simulation.run_seconds(1);
             if second > 30 {
-                world.send(second % 36, 9);
+                simulation.send(second % 36, 9);
             }
         }
         let lost = [0, 4, 8];
-        expect_that!(falsely_out(&world, &[0, 3, 4, 5, 8]), eq(0));
-        expect_that!(world.outcome.crashes, le(2));
-        expect_that!(world.outcome.least_healthy_slots, ge(floor));
-        expect_that!(world.outcome.answered_share(), gt(0.97));
-        expect_that!(world.outcome.tries_per_call(), le(1.12), "lost {lost:?}");
+        expect_that!(falsely_out(&simulation, &[0, 3, 4, 5, 8]), eq(0));
+        expect_that!(simulation.outcome.crashes, le(2));
+        expect_that!(simulation.outcome.least_healthy_slots, ge(floor));
+        expect_that!(simulation.outcome.answered_share(), gt(0.97));
+        expect_that!(simulation.outcome.tries_per_call(), le(1.12), "lost {lost:?}");
     }
 }
 
--- a/crates/decide/tests/support/direct.rs
+++ b/crates/decide/tests/support/direct.rs
@@ -59,7 +59,7 @@
 
     /// The same before the recount has ended.
     pub fn unready(rule: ServiceRule, upstreams: usize, slots: u32) -> Self {
-        let placer = ServicePlacer::open(settings(rule, 5));
+        let placer = ServicePlacer::new(settings(rule, 5));
         let now = Moment::from_millis(1_000);
         let mut direct = Self { placer, now, calls: 0, sequence: 1, upstreams, slots };
         direct.renew(0..upstreams, slots);
