--- a/crates/decide/tests/fault_matrix.rs
+++ b/crates/decide/tests/fault_matrix.rs
@@ -72,7 +72,7 @@
             simulation.run_seconds(40);
             expect_that!(simulation.ejections().len(), le(1), "at a share of {fail_share}");
             expect_that!(simulation.outcome.least_healthy_slots, ge(floor));
-            expect_that!(simulation.outcome.tries_per_call(), le(1.1));
+            expect_that!(simulation.outcome.attempts_per_call(), le(1.1));
         }
     }
 }
@@ -111,7 +111,7 @@
         };
         let mut simulation = Simulation::new(SimulationPlan { condition: Box::new(bad), ..plan });
         simulation.run_seconds(600);
-        let hurt = &simulation.outcome.failed_tries_by_second;
+        let hurt = &simulation.outcome.failed_attempts_by_second;
         let sum = |from: usize, to: usize| {
             hurt[from.min(hurt.len())..to.min(hurt.len())].iter().sum::<u64>()
         };
@@ -304,8 +304,8 @@
         });
         simulation.run_until(Moment::from_millis(2_000));
         let colds = (0..upstreams).step_by(3);
-        let given: u64 = colds.clone().map(|n| simulation.outcome.given[n]).sum();
-        let all: u64 = simulation.outcome.given.iter().sum();
+        let given: u64 = colds.clone().map(|n| simulation.outcome.grants[n]).sum();
+        let all: u64 = simulation.outcome.grants.iter().sum();
         expect_that!(given * 5, lt(all), "a third at full share would be given a third");
         expect_that!(health_of(&simulation.placer, 0), some(eq(UpstreamHealth::Cold)));
         simulation.run_until(Moment::from_millis(30_000));
@@ -347,7 +347,7 @@
         expect_that!(simulation.outcome.crashes, le(2));
         expect_that!(simulation.outcome.least_healthy_slots, ge(floor));
         expect_that!(simulation.outcome.answered_share(), gt(0.97));
-        expect_that!(simulation.outcome.tries_per_call(), le(1.12), "lost {lost:?}");
+        expect_that!(simulation.outcome.attempts_per_call(), le(1.12), "lost {lost:?}");
     }
 }
 
--- a/crates/decide/tests/load.rs
+++ b/crates/decide/tests/load.rs
@@ -20,7 +20,7 @@
         expect_that!(simulation.outcome.total().refused, eq(0));
         expect_that!(simulation.outcome.shed, eq(0));
         expect_that!(simulation.outcome.wait_p99_ms(), lt(10.0));
-        expect_that!(simulation.outcome.tries_per_call(), le(1.1));
+        expect_that!(simulation.outcome.attempts_per_call(), le(1.1));
         expect_that!(simulation.ejections(), is_empty());
     }
 }
@@ -51,7 +51,7 @@
     let early = simulation.outcome.shed;
     simulation.run_seconds(20);
     let late = (simulation.outcome.shed - early) / 2;
-    let given: u64 = simulation.outcome.given.iter().sum();
+    let given: u64 = simulation.outcome.grants.iter().sum();
     expect_that!(late * 20, lt(given / 3), "shed in ten seconds, of what was given");
     expect_that!(simulation.ejections(), is_empty());
 }
@@ -100,7 +100,7 @@
     });
     simulation.run_seconds(30);
     expect_that!(simulation.outcome.hedges, eq(0));
-    expect_that!(simulation.outcome.tries, eq(simulation.outcome.total().calls));
+    expect_that!(simulation.outcome.attempts, eq(simulation.outcome.total().calls));
 }
 
 // One upstream is slow, and there is no evidence yet. Second tries at others keep its callers from
@@ -143,7 +143,7 @@
             change(&mut plan);
             let mut simulation = Simulation::new(plan);
             simulation.run_seconds(7);
-            expect_that!(simulation.outcome.tries_per_call(), le(1.1));
+            expect_that!(simulation.outcome.attempts_per_call(), le(1.1));
             took.append(&mut simulation.outcome.took_us);
         }
     }
--- a/crates/decide/tests/support/harness.rs
+++ b/crates/decide/tests/support/harness.rs
@@ -49,7 +49,7 @@
 }
 
 impl PlacerHarness {
-    /// Opens a placer whose recount has ended, with warm upstreams in four failure domains.
+    /// Opens a placer whose recount has ended, with warm upstreams spread over four failure domains.
     pub fn open(rule: ServiceRule, upstreams: usize, slots: u32) -> Self {
         let mut harness = Self::open_recounting(rule, upstreams, slots);
         let mut actions = Vec::new();
--- a/crates/decide/tests/support/outcome.rs
+++ b/crates/decide/tests/support/outcome.rs
@@ -15,13 +15,13 @@
 }
 
 #[derive(Debug, Default)]
-pub struct WorldOutcome {
+pub struct SimulationOutcome {
     pub callers: Vec<CallerOutcome>,
-    pub tries: u64,
+    pub attempts: u64,
     pub hedges: u64,
     pub shed: u64,
     pub crashes: u64,
-    pub waits_us: Vec<u64>,
+    pub waited_us: Vec<u64>,
     pub took_us: Vec<u64>,
     /// When calls were refused, how much time each had left, and why.
     pub refusals: Vec<(Moment, Duration, RefusalReason)>,
@@ -31,21 +31,21 @@
     pub returns: Vec<(Moment, usize, ReturnReason)>,
     pub poisoned: u64,
     /// When each upstream was last given a call, and how many calls in all.
-    pub last_given: Vec<Moment>,
-    pub given: Vec<u64>,
-    pub failed_tries: Vec<u64>,
+    pub last_granted: Vec<Moment>,
+    pub grants: Vec<u64>,
+    pub failed_attempts: Vec<u64>,
     /// Failed attempts by second.
-    pub failed_tries_by_second: Vec<u64>,
+    pub failed_attempts_by_second: Vec<u64>,
     pub least_healthy_slots: u32,
 }
 
-impl WorldOutcome {
+impl SimulationOutcome {
     pub fn new(callers: usize, upstreams: usize) -> Self {
         Self {
             callers: vec![CallerOutcome::default(); callers],
-            last_given: vec![Moment::ZERO; upstreams],
-            given: vec![0; upstreams],
-            failed_tries: vec![0; upstreams],
+            last_granted: vec![Moment::ZERO; upstreams],
+            grants: vec![0; upstreams],
+            failed_attempts: vec![0; upstreams],
             least_healthy_slots: u32::MAX,
             ..Self::default()
         }
@@ -65,17 +65,17 @@
     }
 
     pub fn record_grant(&mut self, upstream: usize, now: Moment) {
-        self.last_given[upstream] = now;
-        self.given[upstream] += 1;
+        self.last_granted[upstream] = now;
+        self.grants[upstream] += 1;
     }
 
-    pub fn record_failed_try(&mut self, upstream: usize, now: Moment) {
-        self.failed_tries[upstream] += 1;
+    pub fn record_failed_attempt(&mut self, upstream: usize, now: Moment) {
+        self.failed_attempts[upstream] += 1;
         let second = (now.as_micros() / 1_000_000) as usize;
-        if self.failed_tries_by_second.len() <= second {
-            self.failed_tries_by_second.resize(second + 1, 0);
+        if self.failed_attempts_by_second.len() <= second {
+            self.failed_attempts_by_second.resize(second + 1, 0);
         }
-        self.failed_tries_by_second[second] += 1;
+        self.failed_attempts_by_second[second] += 1;
     }
 
     pub fn record_capacity(&mut self, placer: &ServicePlacer, _now: Moment) {
@@ -101,12 +101,12 @@
         total.answered as f64 / total.calls.max(1) as f64
     }
 
-    pub fn tries_per_call(&self) -> f64 {
-        self.tries as f64 / self.total().calls.max(1) as f64
+    pub fn attempts_per_call(&self) -> f64 {
+        self.attempts as f64 / self.total().calls.max(1) as f64
     }
 
     pub fn wait_p99_ms(&self) -> f64 {
-        percentile(&self.waits_us, 0.99) as f64 / 1_000.0
+        percentile(&self.waited_us, 0.99) as f64 / 1_000.0
     }
 
     pub fn took_p99_ms(&self) -> f64 {
