--- a/crates/decide/tests/fault_matrix.rs
+++ b/crates/decide/tests/fault_matrix.rs
@@ -61,7 +61,7 @@
 // Callers see most calls fail at each upstream, because something that all of them need is gone.
 // Ejecting would leave nothing, and tries of every failure would double the load on what is ill.
 #[gtest]
-fn row_10_all_fail_together_and_none_is_ejected_and_no_storm_follows() {
+fn row_10_a_common_failure_ejects_none_and_causes_no_retry_storm() {
     for fail_share in [0.5, 1.0] {
         for plan in plans(10) {
             let floor = plan.rule.floor_slots;
@@ -80,7 +80,7 @@
 // times alone tell nothing: only those of peers on the same route do. Most of its calls are overtaken
 // by a second try and cancelled, so it hardly ever answers late itself.
 #[gtest]
-fn row_11_a_straggler_among_long_and_short_work_is_found_and_no_other() {
+fn row_11_only_the_slow_upstream_is_ejected_in_traffic_of_mixed_latency() {
     for plan in plans(11) {
         let mut world = World::open(WorldPlan {
             condition: one_upstream_in(3, Condition { slow: 10.0, ..WELL }),
@@ -98,7 +98,7 @@
 // the first time out, so each return meets the next bad time. A time out that grows leaves it out for
 // longer and longer.
 #[gtest]
-fn row_12_flapping_is_given_a_growing_time_out() {
+fn row_12_a_flapping_upstream_is_ejected_for_longer_each_time() {
     for plan in plans(12) {
         let bad = |n, now: Moment| {
             let second = now.as_micros() / 1_000_000;
@@ -194,7 +194,7 @@
 
 // A whole failure domain of entries has lost its path to one upstream.
 #[gtest]
-fn row_16_a_bad_path_from_one_domain_ejects_nothing_and_is_routed_round() {
+fn row_16_a_bad_path_from_one_domain_ejects_nothing_and_is_avoided() {
     let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let mut met = 0;
     let actions = direct.run_calls(8_000, |entry, upstream| {
@@ -209,7 +209,7 @@
 // One request kills whatever runs it. Its caller sends it again and again through other VMs. Each
 // crash takes other callers' calls with it, until the request itself is refused everywhere.
 #[gtest]
-fn row_23_a_request_that_crashes_upstreams_takes_at_most_two() {
+fn row_23_a_request_that_crashes_upstreams_crashes_at_most_two() {
     for plan in plans(23) {
         let poison = 4_711;
         let mut world = World::open(WorldPlan { poison: Some(poison), ..plan });
