--- a/crates/decide/src/detect/evidence.rs
+++ b/crates/decide/src/detect/evidence.rs
@@ -3,28 +3,29 @@
 use super::{EvidenceSource, FAILURE_ALTERNATIVES, tally::BadShare};
 use std::collections::BTreeMap;
 
-/// How many outcomes the belief "healthy" weighs against the peers' in the time of an excursion, which
-/// may be short.
+/// The weight of the baseline share against the peers' outcomes in an excursion, which may be
+/// short, as a number of outcomes.
 const PRIOR_PEER_OUTCOMES: f64 = 5.0;
 
-/// Failures that come from one entry or one failure domain are a path fault when the others would have
-/// seen at least so many at its share, and have seen less than a fifth of that.
+/// Failures seen by one entry or one failure domain are a path fault if the others, at the same
+/// share, should have seen at least this many failures, and have seen less than a fifth of what
+/// they should have.
 const MIN_EXPECTED_FAILURES: f64 = 5.0;
 const PATH_FAULT_FRACTION: f64 = 0.2;
 
-/// The fewest failures from which a path fault is concluded.
+/// The minimum number of failures for a path fault.
 const MIN_PATH_FAILURES: u32 = 3;
 
-/// Failures and successes since the failure test last stood at zero.
+/// Failures and successes since the failure statistics were last zero.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SourceCount {
     pub(super) failures: u32,
     pub(super) successes: u32,
 }
 
-/// What an upstream has shown since one of its statistics last stood at zero, and what had been seen
-/// in all by then. Exactly the time in which the evidence against it came together, for its peers to
-/// be compared over.
+/// The outcomes of an upstream since one of its statistics was last zero, and the totals up to that
+/// moment. This is exactly the time in which the evidence accumulated, so the peers are compared
+/// over the same time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Excursion {
     pub(super) before: BadShare,
@@ -32,7 +33,7 @@
 }
 
 impl Excursion {
-    /// Counts an outcome; `was_zero` tells that the statistic stood at zero before it.
+    /// Counts an outcome; `was_zero` tells that the statistic was zero before it.
     pub(super) fn count(&mut self, bad: bool, was_zero: bool, all: BadShare) {
         if was_zero {
             *self = Self { before: all, own: BadShare::default() };
@@ -40,7 +41,7 @@
         self.own.count(bad);
     }
 
-    /// Returns what the peers have shown in the same time.
+    /// Returns the outcomes of the peers in the same time.
     pub(super) fn peers(&self, all: BadShare) -> BadShare {
         all.minus(self.before).minus(self.own)
     }
@@ -89,8 +90,8 @@
     }
 }
 
-/// Returns the source with the most failures, if the others fare so much better there that its path
-/// must be at fault.
+/// Returns the source with the most failures, if the other sources see so few failures that its
+/// path must be at fault.
 pub(super) fn path_fault_source(counts: &BTreeMap<u32, SourceCount>) -> Option<u32> {
     let (&source, own) = counts.iter().max_by_key(|(_, count)| count.failures)?;
     if own.failures < MIN_PATH_FAILURES {
--- a/crates/decide/src/detect/tally.rs
+++ b/crates/decide/src/detect/tally.rs
@@ -1,20 +1,20 @@
-//! What was seen at an upstream's peers, by route, over a few seconds.
+//! Outcomes of an upstream and of its peers, by route, over a few seconds.
 
 use crate::hedge::LatencyMeter;
 use model::moment::Moment;
 use std::time::Duration;
 
-/// How fast what was seen at peers is forgotten: slowly, for shares of a few percent, and fast, for a
-/// cause that has just begun at all of them. The worse of the two is what is expected.
+/// The half-lives of the outcomes: a long one for shares of a few percent, and a short one for a
+/// cause that has just begun at all peers. The greater of the two shares is the expected one.
 pub(super) const HALF_LIVES: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(1)];
 
-/// Tallies are brought up to date in steps of this part of their half-life.
+/// Decay is applied in steps of a half-life divided by this.
 const DECAY_STEPS: u32 = 20;
 
-/// How many outcomes the prior belief "healthy" weighs against what was measured at peers.
+/// The weight of the baseline share against the outcomes of the peers, as a number of outcomes.
 const PRIOR_OUTCOMES: f64 = 20.0;
 
-/// Outcomes of one kind of select: failed or not, late or not.
+/// Outcomes by one criterion: failed or not, slow or not.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct BadShare {
     pub(super) total: f64,
@@ -40,7 +40,8 @@
         (self.bad / (self.total + PRIOR_OUTCOMES)).max(baseline)
     }
 
-    /// Returns the logarithm of how much likelier this is by its own share than by the expected one.
+    /// Returns the logarithm of how much likelier these outcomes are by their own share than by the
+    /// expected one.
     pub(super) fn log_likelihood_over(self, expected: f64) -> f64 {
         let own_share = self.bad / self.total.max(1.0);
         if own_share <= expected {
@@ -77,7 +78,7 @@
     }
 }
 
-/// Which select a tally answers.
+/// Selects the outcomes by one criterion.
 pub(super) type ShareSelector = fn(&mut OutcomeShares) -> &mut BadShare;
 
 pub(super) fn select_failures(tally: &mut OutcomeShares) -> &mut BadShare {
@@ -88,7 +89,7 @@
     &mut tally.slow
 }
 
-/// One route over one half-life.
+/// The outcomes of one route, decaying with one half-life.
 #[derive(Debug, Default)]
 pub(super) struct RouteWindow {
     pub(super) all: OutcomeShares,
@@ -96,7 +97,7 @@
 }
 
 impl RouteWindow {
-    /// Brings an upstream's tally and that of all up to now.
+    /// Applies the decay up to now to an upstream's outcomes and to those of all.
     pub(super) fn refresh(&mut self, upstream: usize, half_life: Duration, now: Moment) {
         if self.by_upstream.len() <= upstream {
             self.by_upstream.resize(upstream + 1, OutcomeShares::default());
@@ -135,7 +136,8 @@
         self.windows.iter_mut().zip(HALF_LIVES)
     }
 
-    /// Returns the share of bad outcomes that the peers of an upstream show, and counts one of its own.
+    /// Returns the share of bad outcomes expected from an upstream's peers, and counts one of its
+    /// own outcomes.
     pub(super) fn expected_share_and_count(
         &mut self,
         upstream: usize,
@@ -153,7 +155,8 @@
         expected
     }
 
-    /// Returns how much an upstream's share exceeds that of its peers, by each half-life.
+    /// Returns how much an upstream's share exceeds that of its peers, by each half-life, as a
+    /// log-likelihood.
     pub(super) fn excess_by_half_life(
         &mut self,
         upstream: usize,
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -1,16 +1,16 @@
-//! Requests that crash what runs them.
+//! Finds requests that crash the upstreams that execute them.
 //!
-//! Load: a single request, sent again and again by its caller through other VMs, each time crashing
-//! the upstream that runs it. Harm prevented: with ten upstreams a service is down after ten resends,
-//! and each upstream looks guilty. So a crash is charged to the request as well: at two crashes
-//! without a success in between the request is refused by the whole fleet for a while.
+//! Load: a single request that its caller sends again and again through other VMs, and that crashes
+//! each upstream that executes it. Harm prevented: a service with ten upstreams is down after ten
+//! resends, and each upstream looks faulty. So a crash counts against the request as well: after
+//! two crashes without a success in between, the whole fleet refuses the request for a while.
 //!
-//! Reasons for the limits: one crash proves nothing, since whatever is in flight dies with the
-//! process, so up to a slot count of innocent requests stand concurrent_crash the guilty one. A second crash of
+//! The limits: one crash proves nothing, since every call in flight ends with the process, so up to
+//! a slot count of innocent requests are involved besides the one that caused it. A second crash of
 //! the same request on another process is rarely chance, and a success in between clears a request
-//! (a popular read is in flight at most crashes, and succeeds all the time). While a request has one
-//! crash to its name, only one of it runs at a time, so that it cannot take a third upstream before
-//! the second crash is first_crash.
+//! (a popular read is in flight at most crashes, and succeeds all the time). While a request is
+//! involved in one crash, only one of it runs at a time, so that it cannot crash a third upstream
+//! before the second crash is known.
 
 use model::{moment::Moment, slot::RequestFingerprint};
 use std::{
@@ -18,17 +18,18 @@
     time::Duration,
 };
 
-/// For how long a request is refused. Long enough that a caller's automatic resends end; short enough
-/// that a mended upstream takes the request again on the same day.
+/// How long a request is refused: long enough that a caller's automatic resends end, short enough
+/// that a repaired upstream accepts the request again on the same day.
 pub const POISON_DURATION: Duration = Duration::from_secs(600);
 
-/// For how long one crash is remembered.
+/// How long one crash is remembered.
 pub const SUSPICION_DURATION: Duration = Duration::from_secs(120);
 
-/// How many requests are remembered. Each crash names at most as many as its upstream has slots.
+/// The maximum number of remembered requests. Each crash adds at most as many as its upstream has
+/// slots.
 pub const MAX_TRACKED_REQUESTS: usize = 4_096;
 
-/// Requests that are refused, from here and from elsewhere.
+/// The requests that are refused, whether this placer or another VM decided so.
 #[derive(Debug, Default)]
 pub struct PoisonList {
     expiries: BTreeMap<RequestFingerprint, Moment>,
@@ -36,7 +37,8 @@
 }
 
 impl PoisonList {
-    /// Refuses a request until a moment. A later end wins. Returns whether anything changed.
+    /// Refuses a request until a moment. A later moment replaces an earlier one. Returns whether
+    /// anything changed.
     pub fn add(&mut self, fingerprint: RequestFingerprint, until: Moment) -> bool {
         let held = self.expiries.get(&fingerprint).copied();
         if held.is_some_and(|held| held >= until) {
@@ -55,19 +57,19 @@
         true
     }
 
-    /// Takes in another list. The order in which lists are merged does not matter.
+    /// Merges another list into this one. The order of merges does not matter.
     pub fn merge(&mut self, other: impl IntoIterator<Item = (RequestFingerprint, Moment)>) {
         for (fingerprint, until) in other {
             self.add(fingerprint, until);
         }
     }
 
-    /// Returns until when a request is refused.
+    /// Returns the moment until which a request is refused, if it is.
     pub fn refused_until(&self, fingerprint: RequestFingerprint, now: Moment) -> Option<Moment> {
         self.expiries.get(&fingerprint).copied().filter(|&until| until > now)
     }
 
-    /// Forgets what has run out.
+    /// Drops entries that have expired.
     pub fn expire(&mut self, now: Moment) {
         while let Some(&(until, fingerprint)) = self.by_expiry.first() {
             if until > now {
@@ -78,45 +80,47 @@
         }
     }
 
-    /// Lists what is refused, to be told to others.
+    /// Lists the refused requests, to be sent to other VMs.
     pub fn iter(&self) -> impl Iterator<Item = (RequestFingerprint, Moment)> {
         self.expiries.iter().map(|(&fingerprint, &until)| (fingerprint, until))
     }
 }
 
-/// Crashes closer together than this, of several upstreams, may have one cause outside of them.
+/// Crashes of several upstreams within this time may have a common cause outside of them.
 const SHARED_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// From so many upstreams on that crash together, the cause is outside of them: a failure domain was
-/// lost, and what ran there is innocent.
+/// The number of upstreams that must crash together for the cause to be outside of them, as in the
+/// loss of a failure domain, so that the requests in flight are innocent.
 const MIN_SHARED_CRASH_UPSTREAMS: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct CrashSuspect {
-    /// When its first crash became first_crash.
+    /// When its first crash became known.
     first_crash: Moment,
-    /// How many of it run now.
+    /// How many calls of it run now.
     running: u32,
-    /// When another of it crashed that had been running already by then.
+    /// When another call of it crashed that had already been running at the first crash.
     concurrent_crash: Option<Moment>,
 }
 
-/// What a suspect request may do.
+/// What may be done with a suspect request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectVerdict {
-    /// Run.
+    /// Run it.
     Allow,
-    /// Come back after this time: one of it is running, or two crashed together a moment ago.
+    /// Try again after this time: another call of it is running, or two crashed together a moment
+    /// ago.
     Wait(Duration),
-    /// Be refused: it has crashed two upstreams.
+    /// Refuse it: it has crashed two upstreams.
     Refuse,
 }
 
 /// Requests that were in flight at one crash.
 ///
-/// A second crash convicts when its run began after the first crash was first_crash. Two that crash side by
-/// side (a call and its hedge, or one popular read at two upstreams of a lost failure domain) refuse_fleet_wide
-/// only a second later, unless the request succeeds somewhere or a third upstream crashes as well.
+/// A request is refused at its second crash if that call began after the first crash was known. Two
+/// calls of it that crash at the same time (a call and its hedge, or one popular read at two
+/// upstreams of a lost failure domain) lead to a refusal only a second later, and not if the
+/// request succeeds somewhere or a third upstream crashes as well.
 #[derive(Debug, Default)]
 pub struct CrashSuspects {
     suspects: BTreeMap<RequestFingerprint, CrashSuspect>,
@@ -125,18 +129,18 @@
 }
 
 impl CrashSuspects {
-    /// Tells whether nothing is suspect: the fast way past the rest.
+    /// Returns whether nothing is suspect, as a fast path.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Tells whether a request has a crash to its name.
+    /// Returns whether a request is involved in a crash.
     pub fn contains(&self, fingerprint: RequestFingerprint) -> bool {
         self.suspects.contains_key(&fingerprint)
     }
 
-    /// Counts a crash of `upstream` while the request ran there since `granted`; `running` more of it
-    /// run elsewhere. Returns whether that convicts it.
+    /// Records a crash of `upstream` while the request had been running there since `granted`;
+    /// `running` more calls of it run elsewhere. Returns whether the request must be refused.
     pub fn record_crash(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -160,26 +164,26 @@
         false
     }
 
-    /// Clears a request that succeeded.
+    /// Clears a request that has succeeded.
     pub fn clear(&mut self, fingerprint: RequestFingerprint) {
         self.suspects.remove(&fingerprint);
     }
 
-    /// Counts the start of a run.
+    /// Records that a call of a request has started.
     pub fn run_started(&mut self, fingerprint: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.running += 1;
         }
     }
 
-    /// Counts the end of a run.
+    /// Records that a call of a request has ended.
     pub fn run_ended(&mut self, fingerprint: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.running = suspect.running.saturating_sub(1);
         }
     }
 
-    /// Decides what a request may do now.
+    /// Decides what may be done with a request now.
     pub fn check(&mut self, fingerprint: RequestFingerprint, now: Moment) -> SuspectVerdict {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return SuspectVerdict::Allow;
@@ -206,7 +210,7 @@
         }
     }
 
-    /// Forgets old suspicions.
+    /// Drops suspicions that have expired.
     pub fn expire(&mut self, now: Moment) {
         self.suspects.retain(|_, suspect| suspect.first_crash + SUSPICION_DURATION > now);
     }
--- a/crates/decide/src/retry_budget.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -1,56 +1,60 @@
-//! How many second tries a budget service is given.
+//! Budgets for the retries and hedges of a service.
 //!
-//! Load: an outage, or upstreams that shed, when each failure would be tried again and each slow call
-//! hedged. Harm prevented: second tries that pile on just when the service has least to give. Budgets
-//! at each of 48 entries that see a call in two seconds are either too small for the one that needs a
-//! try or too large in sum. So the service's placer, which sees each try, keeps one budget for all;
-//! an entry without a placer has a small part of its own.
+//! Load: an outage, or upstreams that shed, when every failure would be retried and every slow call
+//! hedged. Harm prevented: extra attempts that pile up just when the service has the least
+//! capacity. Separate budgets at 48 entries that each see one call in two seconds are either too
+//! small for the entry that needs a retry or too large in total. So the service's placer, which
+//! sees every attempt, keeps one budget for all of them; an entry without a placer has a small
+//! budget of its own.
 //!
-//! Reasons for the limits: over any ten seconds, attempts beyond the first of each call are at most the
-//! operators' share of the calls that came in them, in the ten seconds before, or in those half a window
-//! earlier, whichever are most, and the burst. A retry counts in each window that it is in, later ones
-//! included, so it is given out only if it is within the budget of all of them, by the calls known already.
-//! Entries report to a new placer what its predecessors gave out.
+//! The limit: in any ten seconds, the attempts beyond the first of each call are at most the burst
+//! plus the configured percentage of calls. The calls counted are those of the same ten seconds,
+//! those of the window half a window earlier, or those of the window before, whichever are most. A
+//! retry counts in every window that contains it, later ones included, so it is granted only if all
+//! of these windows have budget left, judged by the calls known so far. Entries report to a new
+//! placer what its predecessors granted.
 
 use derive::domain;
 use model::moment::Moment;
 use std::{collections::VecDeque, time::Duration};
 
-/// Over which time the budget holds.
+/// The length of the window that the budget applies to.
 pub const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// In which buckets the window moves.
+/// The resolution of the sliding window.
 const BUCKET: Duration = Duration::from_millis(500);
 
-/// In which buckets later windows are checked.
+/// The interval between the later windows that are checked.
 const LOOK_AHEAD_STEP: Duration = Duration::from_millis(250);
 
-/// The part of the burst that a placer gives out. The rest is for what entries without a placer have tokens.
+/// The fraction of the burst that a placer grants. The rest covers the tokens that entries without
+/// a placer have saved.
 const PLACER_FRACTION: f64 = 0.9;
 
-/// The part of the budget up to which hedges are given out: a failed call needs its retry more, and failures
+/// The fraction of the budget that hedges may use: a failed call needs its retry more, and failures
 /// come in bursts.
 const HEDGE_FRACTION: f64 = 0.45;
 
-/// The part of the budget up to which refused calls are given retries, so that failed ones get some in a
-/// storm of refusals.
+/// The fraction of the budget that refused calls may use, so that failed calls still get retries
+/// while many calls are refused.
 const REFUSED_FRACTION: f64 = 0.95;
 
-/// The greatest share of calls that is hedged: beyond half, the second try is as likely to be the slower one.
+/// The greatest share of calls that is hedged. Beyond half, the hedge is as likely as the first
+/// attempt to be the slower one.
 const MAX_HEDGED_SHARE: f64 = 0.5;
 
-/// The part of the share that entries without a placer give out for calls that no placer sees. Less than the
-/// budget, since a placer that is lost or slow may have counted some of these calls.
+/// The fraction of the configured percentage that entries without a placer grant. It is less than
+/// 1, since a placer that is lost or slow may have counted some of the same calls.
 const LOCAL_FRACTION: f64 = 0.8;
 
-/// What a retry is for.
+/// The reason for an attempt beyond the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPurpose {
-    /// A call that failed.
+    /// The call failed.
     Failed,
-    /// A call that was refused without being run.
+    /// The call was refused without being executed.
     Refused,
-    /// A second attempt beside one that is still running.
+    /// A second attempt runs in parallel with a slow first one.
     Hedge,
 }
 
@@ -67,15 +71,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     started: Moment,
-    /// When the last window that it is in has ended.
+    /// When it leaves the last window that contains it.
     counted_until: Moment,
     firsts: u32,
-    /// Those of them that may be hedged.
+    /// How many of the first attempts may be hedged.
     hedgeable: u32,
     retries: u32,
-    /// Those of them that are hedges.
+    /// How many of the retries are hedges.
     hedges: u32,
-    /// Whether it was reported by entries: it may be earlier or later by up to a bucket.
+    /// Whether it was reported by entries, in which case its time may be off by up to a bucket.
     reported: bool,
 }
 
@@ -84,13 +88,13 @@
         Self { started: now, counted_until: now + (RETRY_WINDOW + BUCKET), ..Self::default() }
     }
 
-    /// Tells whether any of it is in the window that ends at a moment.
+    /// Returns whether any part of the bucket is in the window that ends at `end`.
     fn overlaps(&self, end: Moment) -> bool {
         self.counted_until > end
     }
 
-    /// Tells whether all of it is in each window that ends `back` before a moment, or up to
-    /// [`LOOK_AHEAD_STEP`] later.
+    /// Returns whether the whole bucket is in every window that ends between `back` before `end`
+    /// and [`LOOK_AHEAD_STEP`] after that.
     fn is_fully_within(&self, end: Moment, back: Duration) -> bool {
         let uncertainty = if self.reported { BUCKET } else { Duration::ZERO };
         self.counted_until + back >= end + (BUCKET + LOOK_AHEAD_STEP + uncertainty)
@@ -98,19 +102,19 @@
     }
 }
 
-/// The tries of one service that one entry was given a slot for in the last [`RETRY_WINDOW`].
+/// The attempts of one service that one entry was granted slots for in the last [`RETRY_WINDOW`].
 #[domain]
 #[derive(Default)]
 pub struct AttemptCounts {
-    /// First attempts of the last two windows in buckets of 500 ms, the newest first.
+    /// First attempts of the last two windows in steps of 500 ms, newest first.
     pub firsts: Vec<u32>,
-    /// Second and later ones.
+    /// Second and later attempts.
     pub retries: u32,
-    /// For how long it has counted, in milliseconds, up to the budget window.
+    /// How long the entry has been counting, in milliseconds, up to [`RETRY_WINDOW`].
     pub counted_ms: u32,
 }
 
-/// Counts the tries of one service at one entry, to be reported to its next placer.
+/// Counts the attempts of one service at one entry, for the report to its next placer.
 #[derive(Debug)]
 pub struct AttemptCounter(ServiceRetryBudget);
 
@@ -121,7 +125,7 @@
 }
 
 impl AttemptCounter {
-    /// Counts a try.
+    /// Counts an attempt; `attempt` is 1 for the first of a call.
     pub fn record(&mut self, attempt: u32, now: Moment) {
         let bucket = self.0.current_bucket(now);
         match attempt {
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Returns what was counted by an entry that started at the origin of moments.
+    /// Returns the counts of an entry whose clock started at [`Moment::ZERO`].
     pub fn counts(&mut self, now: Moment) -> AttemptCounts {
         self.0.current_bucket(now);
         let budget = RETRY_WINDOW.as_millis() as u64;
@@ -142,7 +146,7 @@
     }
 }
 
-/// What entries report to a new placer about the tries that its predecessors gave out.
+/// What entries report to a new placer about the retries that its predecessors granted.
 #[derive(Debug, Default)]
 pub struct PredecessorRetries {
     expected: u32,
@@ -150,7 +154,7 @@
 }
 
 impl PredecessorRetries {
-    /// Notes how many entries are expected.
+    /// Starts over, with this many entries expected to report.
     pub fn expect_reports(&mut self, entries: u32) {
         *self = Self { expected: entries, reports: AttemptCounts::default() };
     }
@@ -164,29 +168,30 @@
         self.reports.counted_ms = self.reports.counted_ms.saturating_add(counts.counted_ms);
     }
 
-    /// Returns which part of the window is not known: of entries that have not answered, or started within it.
+    /// Returns the fraction of the window that no report covers, because entries have not answered
+    /// or started within it.
     fn unknown_fraction(&self) -> f64 {
         let budget = f64::from(self.expected) * RETRY_WINDOW.as_millis() as f64;
         1.0 - (f64::from(self.reports.counted_ms) / budget.max(1.0)).min(1.0)
     }
 }
 
-/// The retries of one service in the last ten seconds, as its placer counts them.
+/// The retry budget of one service over the last ten seconds, kept by its placer.
 #[derive(Debug)]
 pub struct ServiceRetryBudget {
     buckets: VecDeque<Bucket>,
 }
 
 impl ServiceRetryBudget {
-    /// Opens a window that assumes that a predecessor has given out the budget burst.
+    /// Creates a budget that assumes that a predecessor has granted the whole burst.
     pub fn new(burst: u32, now: Moment) -> Self {
         let retries = (f64::from(burst) * PLACER_FRACTION) as u32;
         Self { buckets: VecDeque::from([Bucket { retries, ..Bucket::starting_at(now) }]) }
     }
 
-    /// Takes over what entries report of predecessor placers. For the part that is not reported, the budget burst may
-    /// have been given out, and what is reported may have been given out a moment ago: second tries come in
-    /// storms, and a placer is often lost in the middle of one.
+    /// Applies what entries report of former placers. For the unreported part the whole burst may
+    /// have been granted, and every reported retry is assumed to have been granted just now:
+    /// retries come in bursts, and a placer is often lost during one.
     pub fn apply_predecessor(&mut self, predecessor: &PredecessorRetries, burst: u32, now: Moment) {
         let assumed = (f64::from(burst) * PLACER_FRACTION) as u32;
         if let Some(opened) = self.buckets.front_mut() {
@@ -194,7 +199,8 @@
             opened.retries =
                 opened.retries.saturating_sub(assumed) + unknown + predecessor.reports.retries;
         }
-        // The origin of moments is the start of this VM. Steps that left the window before it are not counted.
+        // Moments start at zero when this VM starts. Buckets that left the window before that are
+        // dropped.
         let end = now + RETRY_WINDOW;
         for (age, &firsts) in (0..).zip(&predecessor.reports.firsts) {
             let passed = BUCKET * age;
@@ -208,14 +214,14 @@
         }
     }
 
-    /// Counts a first try.
+    /// Counts the first attempt of a call.
     pub fn record_first_attempt(&mut self, hedgeable: bool, now: Moment) {
         let bucket = self.current_bucket(now);
         bucket.firsts += 1;
         bucket.hedgeable += u32::from(hedgeable);
     }
 
-    /// Counts a retry, if the budget has one.
+    /// Takes a retry out of the budget, and returns whether there was one.
     pub fn try_spend(
         &mut self,
         percent: u32,
@@ -233,7 +239,7 @@
         allowed
     }
 
-    /// Returns how many retries may be given out at a moment, by the calls known now.
+    /// Returns how many retries may be granted at a moment, judged by the calls known so far.
     pub fn available(&self, percent: u32, burst: u32, purpose: RetryPurpose, at: Moment) -> f64 {
         let ends = (0..=RETRY_WINDOW.as_millis() / LOOK_AHEAD_STEP.as_millis())
             .map(|step| at + LOOK_AHEAD_STEP * step as u32);
@@ -244,13 +250,13 @@
         ends.map(available).fold(f64::INFINITY, f64::min)
     }
 
-    /// Returns which part of its retries a placer has given out after failures, from 0 to 1. Hedges are
-    /// left out: they give way to those.
+    /// Returns the fraction of the budget that was used for retries after failures and refusals,
+    /// from 0 to 1. Hedges are left out, since they yield to those.
     pub fn used_share(&self, percent: u32, burst: u32, now: Moment) -> f64 {
         (self.non_hedge_retries(now) / self.budget(percent, burst, now).max(1.0)).min(1.0)
     }
 
-    /// Returns the share of calls that can be hedged, from what failures have left of the budget.
+    /// Returns the share of calls that can be hedged with what retries have left of the budget.
     pub fn hedge_share(&self, percent: u32, burst: u32, now: Moment) -> f64 {
         let part = self.budget(percent, burst, now) * HEDGE_FRACTION;
         let left = (part - self.non_hedge_retries(now)).max(0.0);
@@ -261,7 +267,7 @@
         self.count(now, |bucket| bucket.retries.saturating_sub(bucket.hedges))
     }
 
-    /// Returns how many retries there may be in the window that ends at a moment.
+    /// Returns the number of retries allowed in the window that ends at `end`.
     fn budget(&self, percent: u32, burst: u32, end: Moment) -> f64 {
         let [mut last, mut half, mut before] = [0; 3];
         for bucket in &self.buckets {
@@ -273,7 +279,7 @@
         f64::from(percent) / 100.0 * f64::from(calls) + f64::from(burst) * PLACER_FRACTION
     }
 
-    /// Lists the first attempts of the last two windows in buckets, the newest first.
+    /// Lists the first attempts of the last two windows by bucket, newest first.
     fn first_attempts_by_age(&self, now: Moment) -> Vec<u32> {
         let mut firsts = vec![0; (RETRY_WINDOW.as_millis() * 2 / BUCKET.as_millis()) as usize];
         for bucket in &self.buckets {
@@ -289,7 +295,7 @@
         f64::from(self.buckets.iter().filter(|bucket| bucket.overlaps(end)).map(of).sum::<u32>())
     }
 
-    /// Gives back a second try that reached no upstream.
+    /// Returns a retry that reached no upstream to the budget.
     pub fn refund(&mut self, now: Moment) {
         let bucket = self.current_bucket(now);
         bucket.retries = bucket.retries.saturating_sub(1);
@@ -306,19 +312,19 @@
     }
 }
 
-/// The retries of one service at one entry without a placer.
+/// The retry budget of one service at an entry without a placer.
 #[derive(Debug, Default)]
 pub struct LocalRetryBudget {
     tokens: f64,
 }
 
 impl LocalRetryBudget {
-    /// Counts a first try.
+    /// Counts the first attempt of a call.
     pub fn record_first_attempt(&mut self, percent: u32) {
         self.tokens = (self.tokens + f64::from(percent) / 100.0 * LOCAL_FRACTION).min(1.0);
     }
 
-    /// Takes a second try, if there is one.
+    /// Takes a retry out of the budget, and returns whether there was one.
     pub fn try_spend(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
--- a/crates/decide/src/shedding.rs
+++ b/crates/decide/src/shedding.rs
@@ -1,13 +1,15 @@
-//! Detects spells: times in which a whole service turns calls away.
+//! Detects when a whole service sheds load: all its upstreams refuse many of their calls.
 //!
-//! Load: for some seconds all upstreams of a service refuse a large part of their calls, however few they
-//! have. Harm prevented: the retries of ten seconds are spent in the first of them on attempts that are
-//! refused as well, and none is left for the calls that could have waited for the end. The odds
-//! computed here decide when the placer holds retries and first attempts, and when it releases them.
+//! Load: for some seconds all upstreams of a service refuse a large part of their calls, even if
+//! they have few. Harm prevented: the retries of ten seconds are spent in the first of them on
+//! attempts that are refused as well, and none is left for the calls that could have waited until
+//! the service accepts calls again. The odds computed here decide when the placer holds retries and
+//! first attempts, and when it releases them.
 //!
-//! Each attempt moves the odds that a spell is on. A refusal counts at once. An accepted attempt answers
-//! only when its work is done, so one that was not refused within a few times the usual delay of a
-//! refusal counts as accepted. The end of a spell is thus seen within tens of milliseconds.
+//! Every attempt changes the odds that the service is shedding. A refusal counts at once. The
+//! answer to an accepted attempt arrives only when its work is done, so an attempt that was not
+//! refused within a few times the usual delay of a refusal counts as accepted. The end of shedding
+//! is thus detected within tens of milliseconds.
 
 use model::moment::Moment;
 use std::{
@@ -15,65 +17,67 @@
     time::Duration,
 };
 
-/// The share of attempts that a service refuses outside of spells.
+/// The share of attempts that a service refuses while it is not shedding.
 const BASELINE_REFUSED_SHARE: f64 = 0.05;
 
-/// The share of attempts that a spell is assumed to refuse until it is measured, and the bounds of the measured
-/// share: below them a spell cannot be distinguished from usual operation.
+/// The share of attempts that a shedding service is assumed to refuse until it is measured, and the
+/// bounds of the measured share. Below them shedding cannot be distinguished from normal operation.
 const INITIAL_REFUSED_SHARE: f64 = 0.45;
 const REFUSED_SHARE_BOUNDS: (f64, f64) = (0.2, 0.95);
 
-/// How much one attempt weighs in the measured share.
+/// The weight of one sample in the moving averages of the refused share and of the refusal delay.
 const EWMA_WEIGHT: f64 = 1.0 / 48.0;
 
-/// The least and the greatest odds of a spell. The bounds keep a change detectable after few attempts.
+/// The bounds of the odds. They keep a change detectable after a few attempts.
 const ODDS_BOUNDS: (f64, f64) = (1e-3, 300.0);
 
-/// The odds from which a spell is considered on, and below which it is considered over.
+/// The odds at which shedding is considered to have started, and below which it has ended.
 const START_ODDS: f64 = 9.0;
 const END_ODDS: f64 = 1.0;
 
-/// The part of the upstreams that has to refuse calls: if fewer do, calls can be placed on the others.
+/// The fraction of upstreams that must refuse calls. If fewer do, calls can be placed on the
+/// others.
 const MIN_REFUSING_FRACTION: f64 = 0.4;
 
-/// The least number of refusing_upstreams upstreams: with fewer, faults of single upstreams look the same.
+/// The minimum number of refusing upstreams: with fewer, faults of single upstreams look the same.
 const MIN_REFUSING_UPSTREAMS: usize = 3;
 
-/// In which buckets attempts are counted until they are known to be accepted.
+/// The resolution at which attempts of unknown outcome are counted.
 const BUCKET: Duration = Duration::from_millis(5);
 
-/// After how many times the usual delay of a refusal an attempt counts as accepted, and the bounds of that time.
+/// How many times the usual delay of a refusal must pass until an attempt counts as accepted, and
+/// the bounds of that time.
 const ACCEPTED_AFTER_DELAYS: u32 = 3;
 const ACCEPTED_AFTER_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(15), Duration::from_millis(300));
 
-/// After which time without an outcome the odds are reset.
+/// The time without an outcome after which the odds are reset.
 const RESET_AFTER: Duration = Duration::from_secs(5);
 
-/// The start or the end of a spell.
+/// The start or the end of shedding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SheddingChange {
-    /// A spell has begun.
+    /// Shedding has started.
     Began,
-    /// The spell is over; it lasted so long.
+    /// Shedding has ended after this duration.
     Ended(Duration),
 }
 
 #[derive(Debug)]
 struct PendingBucket {
     started: Moment,
-    /// Attempts of which nothing is known yet.
+    /// Attempts whose outcome is unknown.
     attempts: u32,
 }
 
-/// The odds that a whole service is in a spell, and what they are computed from.
+/// Computes the odds that a whole service is shedding.
 #[derive(Debug)]
 pub struct SheddingDetector {
     odds: f64,
     refused_share: f64,
-    /// When the spell that is on began.
+    /// When the current shedding started.
     since: Option<Moment>,
-    /// Upstreams that refused since the odds were last low.
+    /// Upstreams that refused calls since the odds were last at their minimum.
     refusing_upstreams: BTreeSet<u32>,
     pending: VecDeque<PendingBucket>,
     /// The usual delay of a refusal, in microseconds.
@@ -96,22 +100,22 @@
 }
 
 impl SheddingDetector {
-    /// Returns since when a spell has been on.
+    /// Returns when the current shedding started.
     pub fn since(&self) -> Option<Moment> {
         self.since
     }
 
-    /// Returns the share of attempts that the spell refuses.
+    /// Returns the share of attempts that the shedding service refuses.
     pub fn refused_share(&self) -> f64 {
         self.refused_share
     }
 
-    /// Returns the odds that a spell is on.
+    /// Returns the odds that the service is shedding.
     pub fn odds(&self) -> f64 {
         self.odds
     }
 
-    /// Tells whether the odds of a spell are near their lower bound.
+    /// Returns whether the odds are near their lower bound.
     pub fn is_near_minimum_odds(&self) -> bool {
         self.odds <= ODDS_BOUNDS.0 * 2.0
     }
@@ -121,7 +125,7 @@
         self.pending.iter().map(|bucket| bucket.attempts).sum()
     }
 
-    /// Notes an attempt that is sent.
+    /// Records that an attempt is sent.
     pub fn record_sent(&mut self, now: Moment) {
         match self.pending.back_mut() {
             Some(bucket) if now.since(bucket.started) < BUCKET => bucket.attempts += 1,
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Notes how an attempt sent at `placed` to `upstream` ended.
+    /// Records the outcome of an attempt that was sent to `upstream` at `sent`.
     pub fn record_outcome(&mut self, sent: Moment, upstream: u32, refused: bool, now: Moment) {
         let was_pending = self.remove_pending(sent);
         if refused {
@@ -143,13 +147,14 @@
         }
     }
 
-    /// Forgets an attempt that did not reach its upstream.
+    /// Drops an attempt that did not reach its upstream, or whose outcome says nothing about the
+    /// service.
     pub fn discard(&mut self, sent: Moment) {
         self.remove_pending(sent);
     }
 
-    /// Counts attempts as accepted that were not refused in the usual time, and returns whether a spell of a
-    /// service of `upstreams` has begun or ended.
+    /// Counts attempts as accepted that were not refused in the usual time, and returns whether the
+    /// service, which has `upstreams` upstreams, has started or stopped shedding.
     pub fn update(&mut self, upstreams: usize, now: Moment) -> Option<SheddingChange> {
         let wait = Duration::from_micros(self.refusal_delay_us as u64) * ACCEPTED_AFTER_DELAYS;
         let after = wait.clamp(ACCEPTED_AFTER_BOUNDS.0, ACCEPTED_AFTER_BOUNDS.1) + BUCKET;
