--- a/crates/decide/benches/bounds_detect.rs
+++ b/crates/decide/benches/bounds_detect.rs
@@ -1,12 +1,12 @@
-//! How soon a bad upstream is found, and how often a good one is taken for bad.
+//! Compares how soon detectors find a faulty upstream, and how often they eject a healthy one.
 //!
-//! Three detectors meet the same drawn traffic: errors in a print_row at each entry alone, the sequential
-//! test at each entry alone, and the placer with the sequential test. Detection time is the time from
-//! the onset of the fault until nine tenths of the upstream's work have stopped; a lone entry stops
-//! only its own.
+//! Three detectors get the same simulated traffic: consecutive errors at each entry alone, the
+//! sequential test at each entry alone, and the placer with the sequential test. The detection time
+//! is the time from the onset of the fault until nine tenths of the upstream's work have stopped;
+//! an entry alone stops only its own calls.
 //!
-//! `DECIDE_HEALTHY_HOURS=10000` runs the long check for false ejections; without it 6 upstream-hours
-//! are run for each print_row.
+//! `DECIDE_HEALTHY_HOURS=10000` runs the long check for false ejections; without it each row covers
+//! 6 upstream-hours.
 
 mod traffic;
 
@@ -31,14 +31,15 @@
     UpstreamFault { name: "10x slow", fail_share: 0.0, slow: 10.0 },
 ];
 
-/// What is not found by then counts as found then.
+/// The time limit in seconds; faults not found by then count as found then.
 const DETECTION_LIMIT: f64 = 90.0;
 const SEEDS: u64 = 5;
 
-/// Upstream-hours of healthy traffic for each print_row.
+/// Upstream-hours of healthy traffic per row.
 const HOURS: f64 = 6.0;
 
-/// The aim: sooner than five errors in a print_row by this factor, at no more false ejections.
+/// The bound: the placer must be faster than five consecutive errors by this factor, at no more
+/// false ejections.
 const MIN_SPEEDUP: f64 = 5.0;
 
 #[derive(Clone, Debug)]
@@ -66,7 +67,7 @@
 
     fn name(&self) -> String {
         match self {
-            Self::ConsecutiveErrors(limit) => format!("each entry, {limit} in a print_row"),
+            Self::ConsecutiveErrors(limit) => format!("each entry, {limit} in a row"),
             Self::EntrySequential(rule) => format!("each entry, sequential, h={}", threshold(rule)),
             Self::Placer(rule) => format!("placer, sequential, h={}", threshold(rule)),
         }
@@ -84,7 +85,7 @@
         times[times.len() / 2]
     }
 
-    /// Returns the false ejections in so many upstream-hours of healthy, noisy traffic.
+    /// Returns the false ejections in this many upstream-hours of healthy traffic with noise.
     fn false_ejections(&self, shape: &ServiceShape, hours: f64, seed: u64) -> f64 {
         let mut detector = self.open(shape, seed);
         let seconds = hours * 3_600.0 / shape.upstreams as f64;
@@ -124,7 +125,7 @@
     }
 }
 
-/// Prints a print_row and returns its detection times and false ejections.
+/// Prints a row and returns its detection times and false ejections.
 fn print_row(detector: &Detector, shape: &ServiceShape, hours: f64) -> (Vec<f64>, f64) {
     let times: Vec<f64> = FAULTS.iter().map(|&fault| detector.detection(shape, fault)).collect();
     let wrong = detector.false_ejections(shape, hours, 7);
@@ -134,7 +135,7 @@
     (times, wrong)
 }
 
-/// Compares the placer with five errors in a print_row. Returns whether the aim is met.
+/// Compares the placer with five consecutive errors. Returns whether the bound holds.
 fn compare(name: &str, shape: &ServiceShape, rule: &ServiceRule, hours: f64) -> bool {
     print_line(&format!(
         "\n{name}: {} upstreams, {} entries, {} calls/s each",
@@ -151,7 +152,7 @@
 }
 
 fn print_price_curve() {
-    print_line("\nThe print_price_curve: 15 upstreams, 48 entries, prices late : false");
+    print_line("\nThe curve: 15 upstreams, 48 entries, prices late : false");
     print_header();
     for limit in [2, 3, 5, 8] {
         print_row(&Detector::ConsecutiveErrors(limit), &GUILD, HOURS);
@@ -168,7 +169,7 @@
     for (name, shape, rule) in
         [("Guild", GUILD, build::guild_rule(15)), ("Convoy Society", CONVOY, build::convoy_rule(8))]
     {
-        // Parts with seeds of their own, on a few threads.
+        // The parts have different seeds and run on separate threads.
         let parts: u32 = if hours > 1_000.0 { 3 } else { 1 };
         let detector = Detector::Placer(rule);
         let found: f64 = std::thread::scope(|scope| {
--- a/crates/decide/benches/traffic/detectors.rs
+++ b/crates/decide/benches/traffic/detectors.rs
@@ -1,4 +1,4 @@
-//! Three detectors behind one interface.
+//! Three detectors with a common interface.
 
 use super::build;
 use decide::{
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Chooses upstreams and learns from what comes back. Upstream 0 is the one that may be at fault.
+/// Chooses upstreams and learns from the outcomes. Upstream 0 is the one that may be faulty.
 pub trait FailureDetector {
     fn choose(
         &mut self,
@@ -33,23 +33,23 @@
         now: Moment,
     );
 
-    /// Tells whether upstream 0 has lost nine tenths of its work.
+    /// Returns whether upstream 0 has lost nine tenths of its work.
     fn found(&self) -> bool;
 
-    /// Counts ejections of all upstreams but 0, in whole upstreams: one that is out at one of forty
-    /// entries counts a fortieth.
+    /// Returns the ejections of all upstreams but 0, in whole upstreams: an ejection at one of
+    /// forty entries counts a fortieth.
     fn false_ejections(&self) -> f64;
 }
 
-/// How an entry alone judges.
+/// The test that a single entry uses.
 enum EntryTest {
-    /// So many errors in a print_row.
+    /// This many consecutive errors.
     ConsecutiveErrors { limit: u32, counts: Vec<u32> },
-    /// The sequential test on its own calls.
+    /// The sequential test on the entry's own calls.
     Sequential(Box<OutlierDetector>),
 }
 
-/// Each entry on its own.
+/// Entries that detect faults without a placer.
 pub struct IndependentEntries {
     upstreams: usize,
     tests: Vec<EntryTest>,
@@ -117,7 +117,8 @@
                 counts[upstream] >= *limit
             }
             EntryTest::Sequential(detector) => {
-                // The same entry and domain always: a lone entry cannot tell a bad path.
+                // The source is always the same entry and domain: a single entry cannot detect a
+                // path fault.
                 let source = EvidenceSource { upstream, route, entry: 0, domain: 0 };
                 let took = took.as_micros() as u64;
                 let evidence = if failed { Evidence::Failure } else { Evidence::Response(took) };
--- a/crates/decide/benches/traffic/mod.rs
+++ b/crates/decide/benches/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! Drawn traffic for the comparison of detectors: calls, outcomes, and the noise of healthy days.
+//! Simulated traffic for the comparison of detectors: calls, outcomes, and the noise of normal
+//! operation.
 
 #![allow(dead_code, missing_docs, unreachable_pub)]
 
@@ -17,7 +18,7 @@
     time::Duration,
 };
 
-/// Routes by weight and mean time in milliseconds: long and short work.
+/// Routes by weight and mean latency in milliseconds: short and long work.
 pub const ROUTES: [(f64, f64); 2] = [(0.8, 30.0), (0.2, 200.0)];
 
 /// The size of a service.
@@ -26,11 +27,11 @@
     pub upstreams: usize,
     pub slots: u32,
     pub entries: usize,
-    /// Calls in a second at each upstream.
+    /// Calls per second at each upstream.
     pub rate: f64,
 }
 
-/// What is wrong with upstream 0 once the warm-up is over.
+/// The fault of upstream 0 after the warm-up.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamFault {
     pub name: &'static str,
@@ -40,11 +41,11 @@
 
 pub const HEALTHY: UpstreamFault = UpstreamFault { name: "none", fail_share: 0.0, slow: 1.0 };
 
-/// The noise of healthy days.
+/// The noise of normal operation.
 ///
-/// 0.3% of all calls fail. Each ten minutes one route fails at all upstreams for ten seconds (a third
-/// of its calls), one path between an entry and an upstream is lost for five seconds, and one upstream
-/// stalls for 100 ms.
+/// 0.3% of all calls fail. Every ten minutes one route fails at all upstreams for ten seconds (a
+/// third of its calls), one path between an entry and an upstream is lost for five seconds, and one
+/// upstream stalls for 100 ms.
 const BASELINE_FAILURE_SHARE: f64 = 0.003;
 const NOISE_PERIOD_S: f64 = 600.0;
 const ROUTE_FAILURE: (f64, f64) = (10.0, 0.33);
@@ -150,14 +151,14 @@
         None
     }
 
-    /// Runs for a time.
+    /// Runs for this many seconds.
     pub fn run(&mut self, detector: &mut dyn FailureDetector, seconds: f64) {
         while self.now < seconds {
             self.step(detector);
         }
     }
 
-    /// Lets one call arrive, and all end that end before it.
+    /// Lets one call arrive, after the calls that complete before it.
     fn step(&mut self, detector: &mut dyn FailureDetector) {
         let rate = self.shape.rate * self.shape.upstreams as f64;
         self.now += -(1.0 - self.random.random::<f64>()).ln() / rate;
--- a/crates/decide/tests/fault_matrix.rs
+++ b/crates/decide/tests/fault_matrix.rs
@@ -1,4 +1,4 @@
-//! The failures that are easy to miss, by the numbers of the fault matrix.
+//! Failures that are easy to miss; the test names give their rows in the fault matrix.
 
 mod support;
 
@@ -25,7 +25,7 @@
     [WorldPlan::guild(seed), WorldPlan::convoy(seed)]
 }
 
-/// One upstream is in a condition from the onset on.
+/// One upstream is in the given condition from the onset on.
 fn one_upstream_in(upstream: usize, condition: Condition) -> support::ConditionPlan {
     Box::new(move |n, now| if n == upstream && now >= onset() { condition } else { WELL })
 }
@@ -39,9 +39,8 @@
     world.ejections().iter().filter(|(_, n, _)| !bad.contains(n)).count()
 }
 
-// Callers see three in ten of their calls at one upstream fail. It goes on answering probes. Its
-// peers do well on the same routes, so the evidence is against it alone, and the service has slots to
-// spare above its floor.
+// Three in ten calls at one upstream fail, while it still answers probes. Its peers succeed on the
+// same routes, so only it is at fault, and the service has slots to spare above its floor.
 #[gtest]
 fn row_09_an_upstream_that_fails_30_percent_is_ejected_and_the_floor_kept() {
     for plan in plans(9) {
@@ -58,8 +57,8 @@
     }
 }
 
-// Callers see most calls fail at each upstream, because something that all of them need is gone.
-// Ejecting would leave nothing, and tries of every failure would double the load on what is ill.
+// Most calls fail at every upstream because of a shared dependency. Ejections would leave no
+// upstream, and retrying every failure would double the load on the failing dependency.
 #[gtest]
 fn row_10_a_common_failure_ejects_none_and_causes_no_retry_storm() {
     for fail_share in [0.5, 1.0] {
@@ -76,9 +75,9 @@
     }
 }
 
-// Callers of one upstream wait ten times as long. Long and short work are mixed at each upstream, so
-// times alone tell nothing: only those of peers on the same route do. Most of its calls are overtaken
-// by a second try and cancelled, so it hardly ever answers late itself.
+// One upstream is ten times slower than the others. Every upstream serves long and short work, so
+// latencies show nothing unless compared with those of peers on the same route. Most of its calls
+// are cancelled because their hedge is faster, so it rarely completes a slow answer itself.
 #[gtest]
 fn row_11_only_the_slow_upstream_is_ejected_in_traffic_of_mixed_latency() {
     for plan in plans(11) {
@@ -94,8 +93,8 @@
     }
 }
 
-// Callers are hurt each time an upstream that fails by turns takes work again. Its period is close to
-// the first time out, so each return meets the next bad time. A time out that grows leaves it out for
+// An upstream fails periodically, and calls fail each time it returns. Its period is close to the
+// base ejection time, so each return meets the next failure. Growing ejection times keep it out
 // longer and longer.
 #[gtest]
 fn row_12_a_flapping_upstream_is_ejected_for_longer_each_time() {
@@ -123,64 +122,66 @@
     }
 }
 
-/// A placer of eight upstreams with four slots, two of them ejected, which leaves just the floor.
+/// A placer of eight upstreams with four slots, two of them ejected, which leaves exactly the
+/// floor.
 fn at_the_floor() -> PlacerHarness {
     let rule = ServiceRule { floor_slots: 24, ejection_ms: 60_000, ..ServiceRule::default() };
-    let mut direct = PlacerHarness::open(rule, 8, 4);
-    let actions = direct.run_calls(400, failing_upstreams(&[1, 2]));
+    let mut harness = PlacerHarness::open(rule, 8, 4);
+    let actions = harness.run_calls(400, failing_upstreams(&[1, 2]));
     let mut out = ejected(&actions);
     out.sort_unstable();
     assert_eq!(out, [1, 2], "both fail and both can be spared");
-    direct
+    harness
 }
 
-// Two upstreams are out for good reason and the rest is just the floor. Then a healthy one dies and
-// its lease runs out. Callers would be refused for want of slots while two upstreams that work in
-// part stand idle: one of the two is back in the same decision.
+// Two upstreams are ejected and the rest is exactly the floor. Then a healthy upstream dies and its
+// lease expires. Calls would be refused for lack of slots while two partly working upstreams are
+// idle, so one of the two returns in the same decision.
 #[gtest]
 fn row_13_floor_reached_then_another_dies() {
-    let mut direct = at_the_floor();
-    direct.renew([0, 1, 2, 3, 4, 5, 6], 4);
-    let mut actions = direct.advance(1_000);
-    direct.renew([0, 1, 2, 3, 4, 5, 6], 4);
-    actions.extend(direct.advance(700));
+    let mut harness = at_the_floor();
+    harness.renew([0, 1, 2, 3, 4, 5, 6], 4);
+    let mut actions = harness.advance(1_000);
+    harness.renew([0, 1, 2, 3, 4, 5, 6], 4);
+    actions.extend(harness.advance(700));
     expect_that!(returned(&actions).len(), eq(1));
-    expect_that!(direct.placer.capacity().healthy_slots, ge(24));
+    expect_that!(harness.placer.capacity().healthy_slots, ge(24));
 }
 
-// The same, but the healthy one leaves as planned, and then another: both ejected ones are back.
+// The healthy upstream leaves as planned instead, and then another: both ejected upstreams return.
 #[gtest]
 fn row_13_floor_reached_then_two_leave() {
-    let mut direct = at_the_floor();
+    let mut harness = at_the_floor();
     for (leaving, back) in [(5, 1), (6, 2)] {
         let mut announcement = build::announcement(leaving, leaving % 4, 4);
         announcement.state = model::announcement::UpstreamState::Leaving;
         announcement.sequence = 99;
         let mut actions = Vec::new();
-        direct.placer.announce(&announcement, direct.now, &mut actions);
+        harness.placer.announce(&announcement, harness.now, &mut actions);
         expect_that!(returned(&actions).len(), eq(1));
-        let healthy = direct.placer.health().filter(|row| row.1 == UpstreamHealth::Healthy).count();
+        let healthy =
+            harness.placer.health().filter(|row| row.1 == UpstreamHealth::Healthy).count();
         expect_that!(healthy, eq(6), "after {back} returned");
     }
 }
 
-// The floor protects a bad upstream: callers still get what it can do, but only when nothing else is
-// free, and it is not ejected.
+// The floor protects a failing upstream from ejection. It still serves calls, but only when nothing
+// else is free.
 #[gtest]
 fn row_13_a_bad_upstream_at_the_floor_stays_and_is_used_last() {
-    let mut direct = at_the_floor();
-    let actions = direct.run_calls(300, failing_upstreams(&[3]));
+    let mut harness = at_the_floor();
+    let actions = harness.run_calls(300, failing_upstreams(&[3]));
     expect_that!(ejected(&actions), is_empty());
     let first: Vec<usize> =
-        (0..18).map(|_| build::upstream_number(&direct.ask().grant().upstream)).collect();
+        (0..18).map(|_| build::upstream_number(&harness.ask().grant().upstream)).collect();
     expect_that!(first, not(contains(eq(&3))));
 }
 
-// One machine cannot reach one upstream, which works for the other 39. Callers that come through that
-// machine are hurt until it routes round; an ejection would take the upstream from all.
+// One VM cannot reach one upstream, which works for the other 39. Calls through that VM fail until
+// it avoids the upstream; an ejection would take it from all of them.
 #[gtest]
 fn row_16_a_bad_path_from_one_entry_ejects_nothing() {
-    let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
+    let mut harness = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let broken = |entry, upstream| {
         if entry == 7 && upstream % 4 == 3 {
             OutcomeClass::ConnectFailure
@@ -188,16 +189,16 @@
             OutcomeClass::Success
         }
     };
-    let actions = direct.run_calls(8_000, broken);
+    let actions = harness.run_calls(8_000, broken);
     expect_that!(ejected(&actions), is_empty());
 }
 
-// A whole failure domain of entries has lost its path to one upstream.
+// All entries of one failure domain have lost their path to one upstream.
 #[gtest]
 fn row_16_a_bad_path_from_one_domain_ejects_nothing_and_is_avoided() {
-    let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
+    let mut harness = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let mut met = 0;
-    let actions = direct.run_calls(8_000, |entry, upstream| {
+    let actions = harness.run_calls(8_000, |entry, upstream| {
         let broken = entry % 4 == 1 && upstream == 1;
         met += u32::from(broken);
         if broken { OutcomeClass::ConnectFailure } else { OutcomeClass::Success }
@@ -206,8 +207,8 @@
     expect_that!(met, lt(40), "about 170 of that domain's calls would go there");
 }
 
-// One request kills whatever runs it. Its caller sends it again and again through other VMs. Each
-// crash takes other callers' calls with it, until the request itself is refused everywhere.
+// One request crashes every upstream that executes it, and its caller resends it through other VMs.
+// Each crash ends the calls of other callers, until the request is refused everywhere.
 #[gtest]
 fn row_23_a_request_that_crashes_upstreams_crashes_at_most_two() {
     for plan in plans(23) {
@@ -226,22 +227,22 @@
     }
 }
 
-// A failure domain loses power while one popular page is in flight at each of its upstreams. The page
-// was in flight at three crashes, and yet is as innocent as the rest.
+// A failure domain loses power while one popular page is in flight at each of its upstreams. The
+// request was in flight at three crashes, but it did not cause them.
 #[gtest]
 fn row_23_a_popular_request_in_a_lost_domain_is_not_refused() {
-    let mut direct = PlacerHarness::open(ServiceRule::default(), 12, 4);
+    let mut harness = PlacerHarness::open(ServiceRule::default(), 12, 4);
     let popular = 5;
     let grants: Vec<_> = (0..12)
-        .map(|entry| direct.ask_from(entry, |ask| ask.fingerprint.0 = popular).grant())
+        .map(|entry| harness.ask_from(entry, |ask| ask.fingerprint.0 = popular).grant())
         .collect();
     for grant in grants.iter().filter(|g| build::upstream_number(&g.upstream).is_multiple_of(4)) {
-        direct.settle_as(grant, popular, OutcomeClass::Crash, 20);
+        harness.settle_as(grant, popular, OutcomeClass::Crash, 20);
     }
-    direct.advance(1_200);
-    direct.renew(0..12, 4);
+    harness.advance(1_200);
+    harness.renew(0..12, 4);
     let refused = |reason| reason == RefusalReason::Poisonous;
-    match direct.ask_from(0, |ask| ask.fingerprint.0 = popular) {
+    match harness.ask_from(0, |ask| ask.fingerprint.0 = popular) {
         support::harness::AskOutcome::Refusal(refusal) => {
             expect_that!(refused(refusal.reason) && refusal.retry_after_ms > 5_000, eq(false));
         }
@@ -249,9 +250,9 @@
     }
 }
 
-// Ten times what the service can do arrives, and one caller sends half of all. Nobody's call may wait
-// for nothing: what cannot be in time is told so at once, with when to come back, and the other
-// callers' share is as large as the noisy one's.
+// Ten times the service's capacity arrives, half of it from one caller. No call may wait in vain:
+// those that cannot be answered in time are refused at once, with the time to come back, and the
+// other callers' shares are as large as that of the busiest one.
 #[gtest]
 fn row_25_a_burst_with_one_caller_sending_half_is_refused_early_and_shared_fairly() {
     for plan in plans(25) {
@@ -281,8 +282,9 @@
     }
 }
 
-// A third of the upstreams starts at the peak. For ten seconds each answers five times slower. Full
-// shares would make their callers late; judged by their peers' times they would all be out.
+// A third of the upstreams starts at the peak and answers five times slower for ten seconds. With
+// full shares their calls would be late; compared with their peers' latencies they would all be
+// ejected.
 #[gtest]
 fn row_26_a_third_starts_cold_at_the_peak_and_none_is_ejected() {
     for plan in plans(26) {
@@ -297,8 +299,8 @@
             ..plan
         });
         world.run_until(Moment::from_millis(2_000));
-        let colds = (0..upstreams).step_by(3);
-        let given: u64 = colds.clone().map(|n| world.outcome.given[n]).sum();
+        let cold_upstreams = (0..upstreams).step_by(3);
+        let given: u64 = cold_upstreams.clone().map(|n| world.outcome.given[n]).sum();
         let all: u64 = world.outcome.given.iter().sum();
         expect_that!(given * 5, lt(all), "a third at full share would be given a third");
         expect_that!(health_of(&world.placer, 0), some(eq(UpstreamHealth::Cold)));
@@ -309,8 +311,9 @@
     }
 }
 
-// Two things at once, and each twice: a failure domain is lost while another upstream fails 30%; it
-// comes back and is lost again; a straggler shows up; a poisonous request goes round.
+// Two faults at once, each of them twice: a failure domain is lost while another upstream fails
+// 30%; it returns and is lost again; a slow upstream appears; a request that crashes upstreams is
+// resent.
 #[gtest]
 fn row_28_two_failures_at_once_and_each_twice() {
     for plan in plans(28) {
@@ -341,46 +344,46 @@
     }
 }
 
-// The same message twice: a settle that is sent again frees its slot once.
+// A settlement that is sent twice frees its slot once.
 #[gtest]
 fn row_28_a_settle_sent_twice_counts_once() {
-    let mut direct = PlacerHarness::open(ServiceRule::default(), 1, 1);
-    let first = direct.ask().grant();
-    direct.settle(&first, OutcomeClass::Success);
-    let second = direct.ask().grant();
-    let actions = direct.settle(&first, OutcomeClass::Success);
+    let mut harness = PlacerHarness::open(ServiceRule::default(), 1, 1);
+    let first = harness.ask().grant();
+    harness.settle(&first, OutcomeClass::Success);
+    let second = harness.ask().grant();
+    let actions = harness.settle(&first, OutcomeClass::Success);
     expect_that!(actions, is_empty());
-    expect_that!(direct.placer.row().busy, eq(1));
-    expect_that!(direct.ask().is_queued(), eq(true));
-    let granted = direct.settle(&second, OutcomeClass::Success);
+    expect_that!(harness.placer.row().busy, eq(1));
+    expect_that!(harness.ask().is_queued(), eq(true));
+    let granted = harness.settle(&second, OutcomeClass::Success);
     expect_that!(granted, contains(matches_pattern!(PlacerAction::Grant { .. })));
 }
 
-// Callers would be sent to a failing upstream again after each change of placer. The new placer hears
-// of the ejections from the fleet; it takes them over, but none that would cost the floor, which is
-// its own to guard.
+// After a change of placer, calls would again be sent to a failing upstream. The new placer learns
+// of the ejections from the fleet and adopts them, except those that would go below the floor,
+// which it must guarantee itself.
 #[gtest]
 fn row_17_a_new_placer_takes_over_ejections_down_to_the_floor() {
-    let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
+    let mut harness = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let floor = build::guild_rule(12).floor_slots;
-    let until = direct.now + Duration::from_secs(5);
+    let until = harness.now + Duration::from_secs(5);
     let mut actions = Vec::new();
     for number in 0..12 {
-        direct.placer.adopt_ejection(&build::upstream(number), until, direct.now, &mut actions);
+        harness.placer.adopt_ejection(&build::upstream(number), until, harness.now, &mut actions);
     }
     let out = ejected(&actions);
     expect_that!(out, not(is_empty()));
-    expect_that!(direct.placer.capacity().healthy_slots, ge(floor));
-    expect_that!(direct.placer.capacity().healthy_slots, lt(floor + 4));
-    let granted = build::upstream_number(&direct.ask().grant().upstream);
+    expect_that!(harness.placer.capacity().healthy_slots, ge(floor));
+    expect_that!(harness.placer.capacity().healthy_slots, lt(floor + 4));
+    let granted = build::upstream_number(&harness.ask().grant().upstream);
     expect_that!(out, not(contains(eq(&granted))));
 }
 
-// An ejection whose time is over by the time it is heard of is none.
+// An ejection that has expired when the placer learns of it is not adopted.
 #[gtest]
 fn row_17_an_ejection_that_is_over_is_not_taken_over() {
-    let mut direct = PlacerHarness::open(build::guild_rule(12), 12, 4);
+    let mut harness = PlacerHarness::open(build::guild_rule(12), 12, 4);
     let mut actions = Vec::new();
-    direct.placer.adopt_ejection(&build::upstream(3), direct.now, direct.now, &mut actions);
+    harness.placer.adopt_ejection(&build::upstream(3), harness.now, harness.now, &mut actions);
     expect_that!(ejected(&actions), is_empty());
 }
