--- a/crates/decide/src/retry_budget.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -137,11 +137,11 @@
     /// Returns the counts of an entry whose clock started at [`Moment::ZERO`].
     pub fn counts(&mut self, now: Moment) -> AttemptCounts {
         self.0.current_bucket(now);
-        let budget = RETRY_WINDOW.as_millis() as u64;
+        let window_ms = RETRY_WINDOW.as_millis() as u64;
         AttemptCounts {
             firsts: self.0.first_attempts_by_age(now),
             retries: self.0.count(now, |bucket| bucket.retries) as u32,
-            counted_ms: (now.as_micros() / 1_000).min(budget) as u32,
+            counted_ms: (now.as_micros() / 1_000).min(window_ms) as u32,
         }
     }
 }
@@ -171,8 +171,8 @@
     /// Returns the fraction of the window that no report covers, because entries have not answered
     /// or started within it.
     fn unknown_fraction(&self) -> f64 {
-        let budget = f64::from(self.expected) * RETRY_WINDOW.as_millis() as f64;
-        1.0 - (f64::from(self.reports.counted_ms) / budget.max(1.0)).min(1.0)
+        let expected_ms = f64::from(self.expected) * RETRY_WINDOW.as_millis() as f64;
+        1.0 - (f64::from(self.reports.counted_ms) / expected_ms.max(1.0)).min(1.0)
     }
 }
 
@@ -194,10 +194,10 @@
     /// retries come in bursts, and a placer is often lost during one.
     pub fn apply_predecessor(&mut self, predecessor: &PredecessorRetries, burst: u32, now: Moment) {
         let assumed = (f64::from(burst) * PLACER_FRACTION) as u32;
-        if let Some(opened) = self.buckets.front_mut() {
+        if let Some(initial) = self.buckets.front_mut() {
             let unknown = (f64::from(assumed) * predecessor.unknown_fraction()).ceil() as u32;
-            opened.retries =
-                opened.retries.saturating_sub(assumed) + unknown + predecessor.reports.retries;
+            initial.retries =
+                initial.retries.saturating_sub(assumed) + unknown + predecessor.reports.retries;
         }
         // Moments start at zero when this VM starts. Buckets that left the window before that are
         // dropped.
@@ -295,7 +295,7 @@
         f64::from(self.buckets.iter().filter(|bucket| bucket.overlaps(end)).map(of).sum::<u32>())
     }
 
-    /// Returns a retry that reached no upstream to the budget.
+    /// Puts a retry that reached no upstream back into the budget.
     pub fn refund(&mut self, now: Moment) {
         let bucket = self.current_bucket(now);
         bucket.retries = bucket.retries.saturating_sub(1);
