--- a/crates/decide/benches/traffic/detectors.rs
+++ b/crates/decide/benches/traffic/detectors.rs
@@ -168,7 +168,7 @@
 impl PlacerDetector {
     pub fn open(rule: ServiceRule, upstreams: usize, slots: u32, seed: u64) -> Self {
         let mut one = Self {
-            placer: ServicePlacer::open(build::settings(rule, seed)),
+            placer: ServicePlacer::new(build::settings(rule, seed)),
             upstreams,
             slots,
             grants: BTreeMap::new(),
