--- a/crates/decide/src/placer/locality.rs
+++ b/crates/decide/src/placer/locality.rs
@@ -1,20 +1,20 @@
-//! Which upstreams an entry can reach, and what it costs.
+//! Which upstreams an entry can reach, and the cost of crossing failure domains.
 
 use model::moment::Moment;
 use std::collections::BTreeMap;
 
-/// Who cannot reach an upstream.
+/// The entry or failure domain that cannot reach an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum PathSource {
     Entry(u32),
     Domain(u32),
 }
 
-/// Paths that were found broken while the upstream works for others.
+/// Broken paths to upstreams that work for others.
 ///
-/// Load: one machine or one failure domain hears an upstream badly, or not at all. Harm prevented: a
-/// healthy upstream is ejected for all. Reason for the limit: a broken path is tried again after the
-/// time that an ejection would have lasted; nobody else tells when it works.
+/// Load: one VM or one failure domain reaches an upstream badly, or not at all. Prevents a healthy
+/// upstream from being ejected for all. A broken path is tried again after the time for which an
+/// ejection would have lasted, because nothing else tells when it works again.
 #[derive(Debug, Default)]
 pub(super) struct BrokenPaths {
     until: BTreeMap<(PathSource, u32), Moment>,
@@ -40,14 +40,14 @@
     }
 }
 
-/// How much one answer weighs in a measured cost.
+/// The weight of one answer in a measured cost.
 const COST_WEIGHT: f64 = 1.0 / 64.0;
 
-/// How much dearer the entry's own domain may be than another before calls leave it.
+/// How many times the cost of another domain the entry's own domain may cost before calls leave it.
 const LOCAL_COST_FACTOR: f64 = 1.5;
 
-/// What answers cost between failure domains: the time taken, in parts of the route's median, so that
-/// long and short routes can be compared.
+/// The cost of calls between failure domains: the answer time divided by the route's median, so
+/// that long and short routes can be compared.
 #[derive(Debug, Default)]
 pub(super) struct DomainCosts {
     costs: BTreeMap<(u32, u32), f64>,
@@ -59,7 +59,7 @@
         *cost += (ratio.min(10.0) - *cost) * COST_WEIGHT;
     }
 
-    /// Returns the cost in quarters: smaller differences are noise.
+    /// Returns the cost in quarters, rounded: smaller differences are noise.
     pub(super) fn cost_in_quarters(&self, from: u32, to: u32) -> u32 {
         (self.cost(from, to) * 4.0).round() as u32
     }
