--- a/crates/decide/tests/load.rs
+++ b/crates/decide/tests/load.rs
@@ -1,4 +1,5 @@
-//! Decisions under load, by what comes of the calls: bursts, skew, saturation, moved work.
+//! Outcomes of calls under load: bursts, skewed callers, saturation and the loss of a failure
+//! domain.
 
 mod support;
 
@@ -11,9 +12,9 @@
     [SimulationPlan::guild(seed), SimulationPlan::convoy(seed)]
 }
 
-// An ordinary minute: nothing is refused, nobody waits, nothing is ejected.
+// At ordinary load, no call is refused or waits, and no upstream is ejected.
 #[gtest]
-fn an_ordinary_minute_costs_nothing() {
+fn ordinary_load_causes_no_refusals_waits_or_ejections() {
     for plan in plans(1) {
         let mut simulation = Simulation::new(plan);
         simulation.run_seconds(60);
@@ -25,8 +26,8 @@
     }
 }
 
-// Full saturation by calls of which each would be in time alone. Slots stay full of useful work:
-// what is answered is close to all that the upstreams can do, and nothing is answered too late.
+// Full saturation by calls each of which would be on time alone. Slots must do useful work only:
+// nearly as many calls are answered as the upstreams can serve, and hardly any too late.
 #[gtest]
 fn at_full_saturation_slots_do_useful_work_only() {
     for plan in plans(2) {
@@ -41,10 +42,10 @@
     }
 }
 
-// Upstreams announce twice the slots that they work on. Their extra calls wait inside, then are shed.
-// The limits come down to what is real, so that few calls are shed.
+// Upstreams announce more slots than they work on: excess calls wait inside them and are then shed.
+// The limits must drop to the real number of slots, so that few calls are shed.
 #[gtest]
-fn limits_follow_shed_answers_where_announced_slots_mislead() {
+fn limits_follow_shed_answers_where_upstreams_announce_too_many_slots() {
     let plan = SimulationPlan { slots: 12, real_slots: 3, ..SimulationPlan::guild(3) };
     let mut simulation = Simulation::new(SimulationPlan { rate: Box::new(|_| 1_000.0), ..plan });
     simulation.run_seconds(10);
@@ -56,11 +57,11 @@
     expect_that!(simulation.ejections(), is_empty());
 }
 
-// A failure domain is lost at high load, and the rest work on fewer calls than they announce. Work
-// that moves all at once would have each of them shed; it is paced, and what has no room is refused
-// at once instead of waiting.
+// A failure domain is lost at high load, and the other upstreams work on fewer calls than they
+// announce. If the lost domain's calls moved all at once, the others would shed them. They are
+// paced instead, and calls for which there is no room are refused at once and do not wait.
 #[gtest]
-fn the_work_of_a_lost_domain_does_not_break_the_next() {
+fn the_calls_of_a_lost_domain_do_not_overload_the_others() {
     for plan in plans(4) {
         let floor = plan.rule.floor_slots;
         let lost = |n: usize, now: Moment| UpstreamCondition {
@@ -88,7 +89,7 @@
     }
 }
 
-// Payments: none is run a second time unless it is proved that it did not run.
+// A payment must not be run twice unless it is certain that the first run did not happen.
 #[gtest]
 fn calls_that_are_not_idempotent_are_neither_hedged_nor_run_again() {
     let slow =
@@ -103,13 +104,14 @@
     expect_that!(simulation.outcome.tries, eq(simulation.outcome.total().calls));
 }
 
-// One upstream is slow, and there is no evidence yet. Second tries at others keep its callers from
-// waiting, and cost less than one in ten. Of that budget one half goes into the slowest twentieth of
-// ordinary calls; the other carries the slow upstream's, where it is one of two dozen.
+// One upstream is slow and has not been detected yet. Hedges to other upstreams keep its callers
+// from waiting, and cost fewer than one extra attempt in ten calls. Half of that budget goes to the
+// slowest twentieth of ordinary calls; the other half suffices for the slow upstream's calls if it
+// is one of two dozen.
 #[gtest]
-fn second_tries_cut_the_wait_behind_a_slow_upstream() {
+fn hedges_cut_the_wait_behind_a_slow_upstream() {
     let of_two_dozen = |plan: &mut SimulationPlan| {
-        // An ejection would hide what is looked at here.
+        // An ejection would hide the effect of hedges.
         plan.rule.false_ejection_price = u32::MAX;
         plan.upstreams = 24;
         plan.rate = Box::new(|_| 960.0);
@@ -119,9 +121,9 @@
     expect_that!(with * 3, lt(without), "answers that took long");
 }
 
-// As above, with the slow upstream one of a dozen and the detector at work, as it is for the Guild.
+// As above, with one slow upstream of twelve and with ejection enabled, as in the `guild` plan.
 #[gtest]
-fn second_tries_cut_the_wait_behind_one_slow_upstream_of_twelve() {
+fn hedges_cut_the_wait_behind_one_slow_upstream_of_twelve() {
     let [without, with] = answers_behind_a_slow_upstream(|_| ());
     expect_that!(without, ge(30));
     expect_that!(with * 3, lt(without), "answers that took long");
@@ -151,9 +153,9 @@
     took.map(|took| took.iter().filter(|&&us| us > 170_000).count())
 }
 
-// The sums of the simulation add up: each call has exactly one end.
+// Checks the simulation itself: each call ends exactly once.
 #[gtest]
-fn each_call_has_one_end() {
+fn each_call_ends_exactly_once() {
     let mut simulation =
         Simulation::new(SimulationPlan { rate: Box::new(|_| 1_500.0), ..SimulationPlan::guild(7) });
     simulation.run_seconds(10);
