--- a/crates/decide/src/placer/closed.rs
+++ b/crates/decide/src/placer/closed.rs
@@ -32,13 +32,13 @@
         let active = self.targets.iter().filter(|(_, target)| target.is_active());
         let closed = active.map(|(target, _)| self.closed_for(&waiting.ask, target, waited));
         let opens = closed.min().filter(|closed| !closed.is_zero())?;
-        let useful_until = waiting.good_start.unwrap_or(waiting.latest_start);
+        let useful_until = waiting.objective_start.unwrap_or(waiting.latest_start);
         (now + opens > useful_until).then(|| opens.min(MAX_RETRY_AFTER))
     }
 
     /// Refuses the queued calls for which no upstream opens in useful time any more, since others were lost.
     pub(super) fn refuse_closed(&mut self, now: Moment, actions: &mut Vec<PlacerAction>) {
-        if !self.queue.any_closed() {
+        if !self.queue.has_closed_upstreams() {
             return;
         }
         for place in self.queue.matching(|waiting| self.closed_retry_after(waiting, now).is_some())
