--- a/crates/decide/src/quota/observed.rs
+++ b/crates/decide/src/quota/observed.rs
@@ -1,10 +1,10 @@
 //! How many calls of a customer a holder allows while it reaches no owner.
 //!
-//! Load: an owner is lost, or some holders are cut off from it. Harm prevented: each of them gives a
-//! customer its whole quota, or refuses it everything. So each continues at the rate at which it usually
-//! allowed calls: all together were within the quota. A customer that was refused recently is allowed somewhat
-//! less. A VM that knows nothing of a customer allows it one call, and only if it is one of so few such VMs
-//! that one call by each is within what is borne.
+//! When an owner is lost, or holders are cut off from it, they should neither give a customer its whole quota
+//! each nor refuse all its calls. Each holder continues at the rate at which it has allowed calls so far: all
+//! holders together were within the quota. A customer that was refused recently is allowed less. A VM without any
+//! record of a customer allows it one call, and only if it is one of so few such VMs that one call by each is
+//! within the tolerated excess.
 
 use super::{QuotaLimits, RateMeter};
 use model::{
@@ -14,63 +14,63 @@
 use std::{collections::BTreeMap, time::Duration};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Over which time a customer's usual rate is taken: long enough for customers with a call in some seconds.
+/// The time constant of a customer's rate: long enough for customers that call once every few seconds.
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(20);
 
-/// For how long a VM takes itself to have seen calls at least, so that its first few do not make a rate.
+/// The shortest time over which a rate is computed, so that a VM's first few calls do not make a high rate.
 const MIN_OBSERVATION: Duration = Duration::from_secs(1);
 
-/// After which time without a call a customer is forgotten.
+/// How long a customer is kept without a call.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// For how long a refusal says that a customer is at its limit.
+/// How long a customer counts as at its limit after a refusal.
 const AT_LIMIT_SPAN: Duration = Duration::from_secs(10);
 
-/// The part of its usual rate that a customer at its limit is allowed: the VMs that reach an owner may
-/// give it all that it is allowed.
+/// The fraction of its observed rate that a customer at its limit is allowed: the VMs that reach an owner may
+/// give it its whole quota.
 const AT_LIMIT_FRACTION: f64 = 0.5;
 
-/// How much of its usual rate a customer is allowed that was refused nothing of late.
+/// How much of its observed rate a customer is allowed that was not refused recently.
 #[derive(Clone, Copy, Debug)]
 pub struct FallbackAllowance {
     fraction: f64,
-    /// For how many seconds of that rate it may call at once.
+    /// The burst, in seconds of that rate.
     burst_s: f64,
-    /// How many calls it may make at once, however seldom it calls.
+    /// The smallest burst, in calls, however low the rate.
     min_burst: f64,
 }
 
 impl FallbackAllowance {
-    /// Of a VM that places: it finds an owner again within a second or two, while the owner
-    /// continues to give the whole rate to others.
+    /// The allowance at a placer VM. It finds an owner again within a second or two, while the owner continues to
+    /// give the whole rate to others.
     pub const HOLDER: Self = Self { fraction: 1.0, burst_s: 0.5, min_burst: 2.0 };
 }
 
-/// How often customers are looked through for some to forget.
+/// How often idle customers are removed.
 const SWEEP_PERIOD: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ObservedCustomer {
     rate: RateMeter,
     refused_at: Option<Moment>,
-    /// What may be allowed now, since the moment of the last look.
+    /// How many calls were allowed at once at `refilled_at`.
     tokens: f64,
     refilled_at: Option<Moment>,
 }
 
-/// How often customers usually call through one VM.
+/// The rates at which customers' calls were allowed at one VM.
 #[derive(Debug)]
 pub struct ObservedRates {
     own: MemberName,
     allowance: FallbackAllowance,
     customers: BTreeMap<CallerName, ObservedCustomer>,
-    /// When the first call of any customer came.
+    /// When the first call of any customer arrived.
     first_call_at: Option<Moment>,
     last_sweep: Moment,
 }
 
 impl ObservedRates {
-    /// Opens the memory of a VM.
+    /// Creates the empty record of a VM.
     pub fn new(own: MemberName, allowance: FallbackAllowance) -> Self {
         Self {
             own,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Notes a call that an owner's answer allowed.
+    /// Records a call that an owner's answer allowed.
     pub fn record_allowed(&mut self, customer: &CallerName, now: Moment) {
         self.sweep(now);
         self.first_call_at.get_or_insert(now);
@@ -90,12 +90,12 @@
         customer_rate.refilled_at = None;
     }
 
-    /// Notes a call that an owner's answer refused.
+    /// Records a call that an owner's answer refused.
     pub fn record_refused(&mut self, customer: &CallerName, now: Moment) {
         self.customers.entry(customer.clone()).or_default().refused_at = Some(now);
     }
 
-    /// Tells whether a call is allowed for which no owner could be asked. `members`: how many VMs there are.
+    /// Decides on a call while no owner can be asked. `members`: the number of VMs.
     pub fn try_admit(
         &mut self,
         customer: &CallerName,
@@ -134,8 +134,8 @@
         allowed
     }
 
-    /// Tells whether this VM is one of those that may allow a customer a first call. Others draw
-    /// themselves the same way, so that all together allow about as many as are borne.
+    /// Tells whether this VM may allow a call of a customer without any record here. Each VM draws itself by a hash
+    /// of its name and the customer's, so that all together allow about as many calls as are tolerated.
     fn may_admit_unknown(
         &self,
         customer: &CallerName,
--- a/crates/decide/tests/support/quota_simulation.rs
+++ b/crates/decide/tests/support/quota_simulation.rs
@@ -1,5 +1,5 @@
-//! One customer that calls through many entries, the VMs that place its calls, and its owner: without
-//! network. Messages take their time, VMs are lost, cut off and back.
+//! Simulation of one customer that calls through many entries, the placer VMs and its owner, without a network.
+//! Messages are delayed; VMs are lost, cut off and connected again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,103 +19,103 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// One direction of a message between failure domains.
+/// The one-way delay of a message between failure domains.
 const MESSAGE_DELAY: Duration = Duration::from_millis(3);
 
-/// How long an owner is waited for.
+/// How long a holder waits for an owner's answer.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How often holders ask ahead of need.
+/// How often holders request leases ahead of need.
 const REQUEST_PERIOD: Duration = Duration::from_millis(100);
 
-/// For how long and how often a call at a cut-off entry looks for a placer.
+/// How long and how often a call at a cut-off entry looks for a placer.
 const PLACER_SEARCH_TIMEOUT: Duration = Duration::from_secs(1);
 const PLACER_SEARCH_PERIOD: Duration = Duration::from_millis(50);
 
-/// How long the owners have run before the first call.
+/// How long the owners run before the first call.
 const WARM_UP: Duration = Duration::from_secs(10);
 
 /// How long it takes the VMs to agree that one of them is lost.
 pub(crate) const DETECTION_DELAY: Duration = Duration::from_millis(1_200);
 
-/// Whom calls are counted by.
+/// Which VMs count calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountedBy {
-    /// The VMs that place.
+    /// The placer VMs.
     Placers,
-    /// Each entry.
+    /// Every entry.
     Entries,
 }
 
-/// Which messages between an entry and the VMs that place are lost.
+/// Which messages between an entry and the placer VMs are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CutDirection {
     Both,
-    /// Those of the entry.
+    /// Those that the entry sends.
     ToPlacers,
-    /// Those of the VMs that place.
+    /// Those that the placer VMs send.
     ToEntries,
 }
 
-/// What happens to the VMs.
+/// An event that disturbs the VMs or the customer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
     /// The owner is lost for good.
     OwnerLost,
-    /// The VMs that place are cut in halves, each with an owner of its own, and joined again.
+    /// The placer VMs are split in two partitions, each with an owner of its own, and connected again.
     PlacersSplit { for_s: f64 },
-    /// This part of the entries reaches no VM that places. The membership continues to believe them
-    /// reachable, since they reach other entries.
+    /// This fraction of the entries reaches no placer VM. The membership still considers them reachable, since they
+    /// reach other entries.
     EntriesCut { fraction: f64, for_s: f64, direction: CutDirection },
-    /// A VM that places is lost for good, and with it what it had lent.
+    /// A placer VM is lost for good, and with it what it had lent.
     HolderLost,
-    /// The VMs that place restart all at once, with nothing in memory.
+    /// All placer VMs restart at once and lose their state.
     AllRestart,
-    /// The rate and the burst are multiplied.
+    /// The customer's allowed rate and burst are multiplied by a factor.
     LimitsScaled { factor: f64 },
-    /// The customer calls so many times as often.
+    /// The customer's call rate is multiplied by a factor.
     LoadSpike { factor: f64, for_s: f64 },
 }
 
-/// A run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct CustomerScenario {
     pub(crate) counted_by: CountedBy,
-    /// Calls a second that the customer makes.
+    /// Calls per second that the customer makes.
     pub(crate) calls_per_s: f64,
-    /// Calls a second that it may make.
+    /// Calls per second that it may make.
     pub(crate) allowed_per_s: f64,
-    /// Its burst, as seconds of its rate.
+    /// Its burst, in seconds of its allowed rate.
     pub(crate) burst_s: f64,
     pub(crate) entries: usize,
-    /// Through how many of them its callers come.
+    /// How many of the entries its callers use.
     pub(crate) used_entries: usize,
     pub(crate) seconds: f64,
     pub(crate) faults: Vec<(f64, Fault)>,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CustomerResult {
     pub(crate) asked: u32,
     pub(crate) refused: u32,
-    /// Calls that were refused though the customer had made no more in the window than nine tenths of what it
-    /// is allowed there.
+    /// Calls that were refused although the customer had made at most nine tenths of the calls that it is allowed in
+    /// the window.
     pub(crate) wrongly_refused: u32,
     /// Calls that waited for an owner's answer.
     pub(crate) waited: u32,
     /// Messages to owners.
     pub(crate) messages: u32,
-    /// By how much the worst_window window is over the rate and burst, as a part of what may be borne.
+    /// By how much the worst window exceeds the rate and burst, as a fraction of the tolerated excess.
     pub(crate) excess: f64,
-    /// The greatest number of calls in a window, and what is allowed there.
+    /// The number of calls in the worst window, and the limit there.
     pub(crate) worst_window: (u32, f64),
     /// When calls ran.
     ran_at: Vec<Moment>,
 }
 
 impl CustomerResult {
-    /// Counts the calls that ran in some seconds of the run.
+    /// Counts the calls that ran between two times of the run, in seconds.
     pub(crate) fn ran_between(&self, from_s: f64, until_s: f64) -> u32 {
         let at = |s: f64| Moment::ZERO + WARM_UP + Duration::from_secs_f64(s);
         let within = self.ran_at.iter().filter(|&&ran| ran >= at(from_s) && ran < at(until_s));
@@ -126,7 +126,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Call,
-    /// A call at an entry that was cut off waits until a moment.
+    /// A call at a cut-off entry tries again, until a deadline.
     OfflineRetry {
         entry: usize,
         until: Moment,
@@ -163,7 +163,7 @@
     entries: Vec<OfflineShares>,
     names: Vec<MemberName>,
     cut: Vec<Option<CutDirection>>,
-    /// Which VMs that place live, and how many requests of each are under way.
+    /// Which placer VMs are alive, and how many requests of each are in flight.
     alive: Vec<bool>,
     in_flight: Vec<u32>,
     waiting_entries: Vec<Vec<usize>>,
@@ -172,9 +172,9 @@
     last_event: u64,
     ran_at: Vec<Moment>,
     asked_at: Vec<Moment>,
-    /// The first of them that is in the present window.
+    /// The index of the first call in the current window.
     window_start: usize,
-    /// The limits, each from a moment on.
+    /// The factors on the limits, each with the time from which it applies.
     limit_changes: Vec<(Moment, f64)>,
     outcome: CustomerResult,
 }
@@ -184,7 +184,7 @@
 /// The VM that is lost by [`Fault::HolderLost`].
 const LOST_HOLDER: usize = 1;
 
-/// Which part of the calls each VM that places takes: services differ, and one VM places none.
+/// The fraction of the calls that each placer VM handles: services differ, and the last VM handles none.
 const LOAD_FRACTIONS: [f64; PLACERS] = [0.45, 0.3, 0.16, 0.09, 0.0];
 
 fn member(kind: &str, number: usize) -> MemberName {
@@ -241,7 +241,7 @@
             scenario: scenario.clone(),
             rule,
         };
-        // The owners have run for long: their buckets are full.
+        // After the warm-up the owners' buckets are full.
         let first = start + WARM_UP;
         simulation.schedule(first, Event::Call);
         simulation.schedule(first, Event::Tick);
@@ -314,7 +314,7 @@
         self.request(holder, false, now);
     }
 
-    /// Serves a call of a cut-off entry, or has it wait until a moment.
+    /// Serves a call of a cut-off entry, or retries it until a deadline.
     fn take_offline(&mut self, entry: usize, until: Moment, now: Moment) {
         if self.cut[entry].is_none() {
             return self.place(entry, now);
@@ -343,7 +343,7 @@
         if lost == Some(found) { PLACERS - 1 } else { found }
     }
 
-    /// Sends an entry's message to the VM that lends to it, where one is due.
+    /// Sends an entry's message to its lender if one is due.
     fn contact_lender(&mut self, entry: usize, now: Moment) {
         let lender = match entry % PLACERS {
             LOST_HOLDER if !self.alive[LOST_HOLDER] => 0,
@@ -369,7 +369,7 @@
         }
     }
 
-    /// Has a holder that lends and awaits no answer send its owner a sign of life.
+    /// Sends a heartbeat to the owner from a holder that lends and has no request in flight.
     fn send_heartbeat(&mut self, holder: usize, now: Moment) {
         let lends = self.holders[holder].lender().customers().next().is_some();
         let (owner, reached) = self.owner_links[holder];
@@ -488,7 +488,7 @@
         }
     }
 
-    /// The VMs have agreed who is out of reach.
+    /// Applies a fault once the VMs have agreed who is out of reach.
     fn detect_fault(&mut self, fault: Fault, now: Moment) {
         let without_one = 1.0 - 1.0 / PLACERS as f64;
         match fault {
@@ -542,8 +542,8 @@
         }
     }
 
-    /// Looks at each window. A lower limit binds a whole window after it is in force, so a window is held
-    /// to the highest limit of itself and of the window before.
+    /// Checks every window. A lower limit binds only after a whole window, so each window is held to the highest
+    /// limit within itself and the window before it.
     fn measure(mut self) -> CustomerResult {
         let bounds = QuotaBounds::default();
         let window = Duration::from_millis(u64::from(bounds.window_ms));
