--- a/crates/decide/src/quota/observed.rs
+++ b/crates/decide/src/quota/observed.rs
@@ -24,7 +24,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// How long a customer counts as at its limit after a refusal.
-const AT_LIMIT_SPAN: Duration = Duration::from_secs(10);
+const AT_LIMIT_DURATION: Duration = Duration::from_secs(10);
 
 /// The fraction of its observed rate that a customer at its limit is allowed: the VMs that reach an owner may
 /// give it its whole quota.
@@ -85,9 +85,9 @@
     pub fn record_allowed(&mut self, customer: &CallerName, now: Moment) {
         self.sweep(now);
         self.first_call_at.get_or_insert(now);
-        let customer_rate = self.customers.entry(customer.clone()).or_default();
-        customer_rate.rate.record(RATE_TIME_CONSTANT, now);
-        customer_rate.refilled_at = None;
+        let observed = self.customers.entry(customer.clone()).or_default();
+        observed.rate.record(RATE_TIME_CONSTANT, now);
+        observed.refilled_at = None;
     }
 
     /// Records a call that an owner's answer refused.
@@ -103,38 +103,34 @@
         members: usize,
         now: Moment,
     ) -> bool {
-        let known = self
-            .customers
-            .get(customer)
-            .is_some_and(|customer_rate| customer_rate.rate.count > 0.0);
+        let known = self.customers.get(customer).is_some_and(|observed| observed.rate.count > 0.0);
         if !known && !self.may_admit_unknown(customer, limits, members) {
             return false;
         }
         let observed_for = now.since(*self.first_call_at.get_or_insert(now)).max(MIN_OBSERVATION);
-        let customer_rate = self.customers.entry(customer.clone()).or_default();
-        let at_limit = customer_rate.refused_at.is_some_and(|at| now.since(at) < AT_LIMIT_SPAN);
+        let observed = self.customers.entry(customer.clone()).or_default();
+        let at_limit = observed.refused_at.is_some_and(|at| now.since(at) < AT_LIMIT_DURATION);
         let fraction = if at_limit { AT_LIMIT_FRACTION } else { self.allowance.fraction };
         let rate_per_s =
-            customer_rate.rate.per_second_observed(observed_for, RATE_TIME_CONSTANT, now)
-                * fraction;
+            observed.rate.per_second_observed(observed_for, RATE_TIME_CONSTANT, now) * fraction;
         let burst = (rate_per_s * self.allowance.burst_s).max(self.allowance.min_burst);
         let initial = if at_limit { 0.0 } else { (rate_per_s * self.allowance.burst_s).max(1.0) };
-        customer_rate.tokens = match customer_rate.refilled_at {
-            Some(refilled_at) => (customer_rate.tokens
-                + rate_per_s * now.since(refilled_at).as_secs_f64())
-            .min(burst),
+        observed.tokens = match observed.refilled_at {
+            Some(refilled_at) => {
+                (observed.tokens + rate_per_s * now.since(refilled_at).as_secs_f64()).min(burst)
+            }
             None => initial,
         };
-        customer_rate.refilled_at = Some(now);
-        let allowed = customer_rate.tokens >= 1.0;
+        observed.refilled_at = Some(now);
+        let allowed = observed.tokens >= 1.0;
         if allowed {
-            customer_rate.tokens -= 1.0;
-            customer_rate.rate.record(RATE_TIME_CONSTANT, now);
+            observed.tokens -= 1.0;
+            observed.rate.record(RATE_TIME_CONSTANT, now);
         }
         allowed
     }
 
-    /// Tells whether this VM may allow a call of a customer without any record here. Each VM draws itself by a hash
+    /// Tells whether this VM may allow a call of a customer without any record here. Each VM decides by a hash
     /// of its name and the customer's, so that all together allow about as many calls as are tolerated.
     fn may_admit_unknown(
         &self,
@@ -150,11 +146,9 @@
     fn sweep(&mut self, now: Moment) {
         if now.since(self.last_sweep) >= SWEEP_PERIOD {
             self.last_sweep = now;
-            self.customers.retain(|_, customer_rate| {
-                let last_used = customer_rate
-                    .refilled_at
-                    .unwrap_or_default()
-                    .max(customer_rate.rate.updated_at);
+            self.customers.retain(|_, observed| {
+                let last_used =
+                    observed.refilled_at.unwrap_or_default().max(observed.rate.updated_at);
                 now.since(last_used) < IDLE_TIMEOUT
             });
         }
--- a/crates/decide/tests/support/quota_simulation.rs
+++ b/crates/decide/tests/support/quota_simulation.rs
@@ -148,7 +148,7 @@
 
 struct OwnerVm {
     owner: QuotaOwner,
-    lives: bool,
+    is_alive: bool,
 }
 
 pub(crate) struct CustomerSimulation {
@@ -176,7 +176,7 @@
     window_start: usize,
     /// The factors on the limits, each with the time from which it applies.
     limit_changes: Vec<(Moment, f64)>,
-    outcome: CustomerResult,
+    result: CustomerResult,
 }
 
 const PLACERS: usize = 5;
@@ -220,7 +220,7 @@
             holders: (0..holders).map(|n| QuotaHolder::new(member("vm", n))).collect(),
             owner_links: vec![(0, true); holders],
             owners: (0..PLACERS)
-                .map(|_| OwnerVm { owner: QuotaOwner::new(start), lives: true })
+                .map(|_| OwnerVm { owner: QuotaOwner::new(start), is_alive: true })
                 .collect(),
             entries: (0..scenario.entries)
                 .map(|_| OfflineShares::new(IncarnationNumber(1)))
@@ -237,7 +237,7 @@
             asked_at: Vec::new(),
             window_start: 0,
             limit_changes: vec![(start, 1.0)],
-            outcome: CustomerResult::default(),
+            result: CustomerResult::default(),
             scenario: scenario.clone(),
             rule,
         };
@@ -263,7 +263,7 @@
     fn handle(&mut self, event: Event, now: Moment) {
         match event {
             Event::Call => self.call(now),
-            Event::OfflineRetry { entry, until } => self.take_offline(entry, until, now),
+            Event::OfflineRetry { entry, until } => self.serve_offline(entry, until, now),
             Event::Tick => {
                 for holder in 0..self.holders.len() {
                     if self.alive[holder] {
@@ -292,10 +292,10 @@
             / (self.scenario.calls_per_s * self.load_factor);
         self.schedule(now + Duration::from_secs_f64(gap), Event::Call);
         let entry = self.random.random_range(0..self.scenario.used_entries);
-        self.outcome.asked += 1;
+        self.result.asked += 1;
         self.asked_at.push(now);
         if self.cut[entry].is_some() {
-            return self.take_offline(entry, now + PLACER_SEARCH_TIMEOUT, now);
+            return self.serve_offline(entry, now + PLACER_SEARCH_TIMEOUT, now);
         }
         self.place(entry, now);
     }
@@ -307,7 +307,7 @@
             QuotaDecision::Allowed => self.run_call(entry, now),
             QuotaDecision::Refused(_) => self.count_refused(now),
             QuotaDecision::Pending => {
-                self.outcome.waited += 1;
+                self.result.waited += 1;
                 self.waiting_entries[holder].push(entry);
             }
         }
@@ -315,7 +315,7 @@
     }
 
     /// Serves a call of a cut-off entry, or retries it until a deadline.
-    fn take_offline(&mut self, entry: usize, until: Moment, now: Moment) {
+    fn serve_offline(&mut self, entry: usize, until: Moment, now: Moment) {
         if self.cut[entry].is_none() {
             return self.place(entry, now);
         }
@@ -334,7 +334,7 @@
             return entry;
         }
         let mut drawn = self.random.random::<f64>();
-        let lost = self.alive.iter().position(|lives| !lives);
+        let lost = self.alive.iter().position(|is_alive| !is_alive);
         let found = LOAD_FRACTIONS.iter().position(|part| {
             drawn -= part;
             drawn < 0.0
@@ -384,7 +384,7 @@
     }
 
     fn count_refused(&mut self, now: Moment) {
-        self.outcome.refused += 1;
+        self.result.refused += 1;
         let window = Duration::from_millis(u64::from(QuotaBounds::default().window_ms));
         while now.since(self.asked_at[self.window_start]) >= window {
             self.window_start += 1;
@@ -393,15 +393,15 @@
         let factor = self.limit_changes.last().map_or(1.0, |limit| limit.1);
         let allowed =
             self.scenario.allowed_per_s * factor * (window.as_secs_f64() + self.scenario.burst_s);
-        self.outcome.wrongly_refused += u32::from(asked as f64 <= allowed * 0.9);
+        self.result.wrongly_refused += u32::from(asked as f64 <= allowed * 0.9);
     }
 
     fn request(&mut self, holder: usize, all: bool, now: Moment) {
         for (_, request) in self.holders[holder].requests(all, now) {
-            self.outcome.messages += 1;
+            self.result.messages += 1;
             self.in_flight[holder] += 1;
             let (owner, reached) = self.owner_links[holder];
-            match reached && self.owners[owner].lives {
+            match reached && self.owners[owner].is_alive {
                 true => self.schedule(
                     now + MESSAGE_DELAY,
                     Event::RequestArrives { holder, owner, request },
@@ -436,8 +436,8 @@
         let allowed = answered.allowed as usize;
         let answers = allowed + answered.refused.len();
         let waiting: Vec<usize> = self.waiting_entries[holder].drain(..answers).collect();
-        for (place, entry) in waiting.into_iter().enumerate() {
-            if place < allowed { self.run_call(entry, now) } else { self.count_refused(now) }
+        for (index, entry) in waiting.into_iter().enumerate() {
+            if index < allowed { self.run_call(entry, now) } else { self.count_refused(now) }
         }
         self.request(holder, false, now);
     }
@@ -445,7 +445,7 @@
     fn begin_fault(&mut self, fault: Fault, now: Moment) {
         self.schedule(now + DETECTION_DELAY, Event::FaultDetected(fault));
         match fault {
-            Fault::OwnerLost => self.owners[0].lives = false,
+            Fault::OwnerLost => self.owners[0].is_alive = false,
             Fault::PlacersSplit { for_s } => {
                 let first_half = self.holders.len() / 2;
                 self.owner_links[..first_half].iter_mut().for_each(|link| link.1 = false);
@@ -547,7 +547,7 @@
     fn measure(mut self) -> CustomerResult {
         let bounds = QuotaBounds::default();
         let window = Duration::from_millis(u64::from(bounds.window_ms));
-        let (allowed, excess) = (self.scenario.allowed_per_s, &mut self.outcome.excess);
+        let (allowed, excess) = (self.scenario.allowed_per_s, &mut self.result.excess);
         let mut first = 0;
         for (last, &at) in self.ran_at.iter().enumerate() {
             while at.since(self.ran_at[first]) >= window {
@@ -561,15 +561,15 @@
             let within = self.limit_changes.iter().filter(|limit| limit.0 > since && limit.0 <= at);
             let factor = within.map(|limit| limit.1).fold(before, f64::max);
             let limit = allowed * factor * (window.as_secs_f64() + self.scenario.burst_s);
-            let borne =
+            let tolerated =
                 limit * f64::from(bounds.excess_percent) / 100.0 + f64::from(bounds.excess_calls);
-            let over = (calls - limit) / borne;
+            let over = (calls - limit) / tolerated;
             if over > *excess {
                 *excess = over;
-                self.outcome.worst_window = (calls as u32, limit);
+                self.result.worst_window = (calls as u32, limit);
             }
         }
-        self.outcome.ran_at = self.ran_at;
-        self.outcome
+        self.result.ran_at = self.ran_at;
+        self.result
     }
 }
