--- a/crates/decide/src/placer/locality.rs
+++ b/crates/decide/src/placer/locality.rs
@@ -54,7 +54,7 @@
 }
 
 impl DomainCosts {
-    pub(super) fn note(&mut self, from: u32, to: u32, ratio: f64) {
+    pub(super) fn record(&mut self, from: u32, to: u32, ratio: f64) {
         let cost = self.costs.entry((from, to)).or_insert(1.0);
         *cost += (ratio.min(10.0) - *cost) * COST_WEIGHT;
     }
