--- a/crates/decide/benches/bounds_detect.rs
+++ b/crates/decide/benches/bounds_detect.rs
@@ -203,7 +203,7 @@
     met &= compare("Large", &LARGE, &rule_with_prices(1, 10), HOURS);
     print_price_curve();
     print_line(&format!(
-        "\nbound: {MIN_SPEEDUP} times sooner than five in a print_row, at no more false ejections: {met}"
+        "\nbound: {MIN_SPEEDUP} times sooner than five in a row, at no more false ejections: {met}"
     ));
     if met { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
