--- a/crates/decide/tests/load.rs
+++ b/crates/decide/tests/load.rs
@@ -21,7 +21,7 @@
         expect_that!(simulation.outcome.total().refused, eq(0));
         expect_that!(simulation.outcome.shed, eq(0));
         expect_that!(simulation.outcome.wait_p99_ms(), lt(10.0));
-        expect_that!(simulation.outcome.tries_per_call(), le(1.1));
+        expect_that!(simulation.outcome.attempts_per_call(), le(1.1));
         expect_that!(simulation.ejections(), is_empty());
     }
 }
@@ -52,7 +52,7 @@
     let early = simulation.outcome.shed;
     simulation.run_seconds(20);
     let late = (simulation.outcome.shed - early) / 2;
-    let given: u64 = simulation.outcome.given.iter().sum();
+    let given: u64 = simulation.outcome.grants.iter().sum();
     expect_that!(late * 20, lt(given / 3), "shed in ten seconds, of what was given");
     expect_that!(simulation.ejections(), is_empty());
 }
@@ -101,7 +101,7 @@
     });
     simulation.run_seconds(30);
     expect_that!(simulation.outcome.hedges, eq(0));
-    expect_that!(simulation.outcome.tries, eq(simulation.outcome.total().calls));
+    expect_that!(simulation.outcome.attempts, eq(simulation.outcome.total().calls));
 }
 
 // One upstream is slow and has not been detected yet. Hedges to other upstreams keep its callers
@@ -145,7 +145,7 @@
             change(&mut plan);
             let mut simulation = Simulation::new(plan);
             simulation.run_seconds(7);
-            expect_that!(simulation.outcome.tries_per_call(), le(1.1));
+            expect_that!(simulation.outcome.attempts_per_call(), le(1.1));
             took.append(&mut simulation.outcome.took_us);
         }
     }
