--- a/crates/decide/src/placer/closed.rs
+++ b/crates/decide/src/placer/closed.rs
@@ -14,7 +14,8 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl ServicePlacer {
-    /// Returns how much longer an upstream accepts no calls from the VM of an ask that arrived `ago`.
+    /// Returns how much longer an upstream accepts no calls from the VM of an ask. `ago`: how long ago the
+    /// ask arrived.
     pub(super) fn closed_for(&self, ask: &SlotAsk, target: u32, ago: Duration) -> Duration {
         if ask.closed.is_empty() {
             return Duration::ZERO;
@@ -36,15 +37,16 @@
         (now + opens > useful_until).then(|| opens.min(MAX_RETRY_AFTER))
     }
 
-    /// Refuses the queued calls for which no upstream opens in useful time any more, since others were lost.
+    /// Refuses queued calls for which no upstream opens in useful time any more, because the upstreams open to
+    /// them have been lost.
     pub(super) fn refuse_closed(&mut self, now: Moment, actions: &mut Vec<PlacerAction>) {
         if !self.queue.has_closed_upstreams() {
             return;
         }
-        for place in self.queue.matching(|waiting| self.closed_retry_after(waiting, now).is_some())
+        for index in self.queue.matching(|waiting| self.closed_retry_after(waiting, now).is_some())
         {
-            let Some(wait) = self.closed_retry_after(self.queue.get(place), now) else { continue };
-            let waiting = self.queue.remove(place);
+            let Some(wait) = self.closed_retry_after(self.queue.get(index), now) else { continue };
+            let waiting = self.queue.remove(index);
             self.refuse(waiting.id, RefusalReason::Saturated, wait, actions);
         }
     }
--- a/crates/decide/src/placer/locality.rs
+++ b/crates/decide/src/placer/locality.rs
@@ -43,7 +43,7 @@
 /// The weight of one answer in a measured cost.
 const COST_WEIGHT: f64 = 1.0 / 64.0;
 
-/// How many times the cost of another domain the entry's own domain may cost before calls leave it.
+/// Calls leave the entry's own domain once it costs more than this many times as much as another.
 const LOCAL_COST_FACTOR: f64 = 1.5;
 
 /// The cost of calls between failure domains: the answer time divided by the route's median, so
@@ -54,7 +54,7 @@
 }
 
 impl DomainCosts {
-    pub(super) fn note(&mut self, from: u32, to: u32, ratio: f64) {
+    pub(super) fn record(&mut self, from: u32, to: u32, ratio: f64) {
         let cost = self.costs.entry((from, to)).or_insert(1.0);
         *cost += (ratio.min(10.0) - *cost) * COST_WEIGHT;
     }
