--- a/crates/decide/benches/bounds_decide.rs
+++ b/crates/decide/benches/bounds_decide.rs
@@ -110,17 +110,17 @@
         let (entry, ask) = prepared.get(call);
         let route = call as usize % 40 % 5;
         let region = Region::new(ALLOCATOR);
-        let began = Instant::now();
+        let started = Instant::now();
         placer.ask(entry, ask, now, &mut actions);
-        spent += began.elapsed();
+        spent += started.elapsed();
         allocations += region.change().allocations;
         let Some(grant) = take_grant(&mut actions) else { continue };
         let took = Duration::from_millis(20);
         let settle = build::settle(&grant, route, call | 1 << 40, OutcomeClass::Success, took);
         let region = Region::new(ALLOCATOR);
-        let began = Instant::now();
+        let started = Instant::now();
         placer.settle(&settle, now + took, &mut actions);
-        spent += began.elapsed();
+        spent += started.elapsed();
         allocations += region.change().allocations;
         actions.clear();
     }
@@ -149,9 +149,9 @@
         let call = 4 + round * 7 % waiting;
         let (entry, ask) = prepared.get(call);
         let id = AskId { entry: entry.clone(), call: ask.call, attempt: 1 };
-        let began = Instant::now();
+        let started = Instant::now();
         placer.cancel(&id);
-        spent += began.elapsed();
+        spent += started.elapsed();
         placer.ask(entry, ask, Moment::ZERO, &mut actions);
         actions.clear();
     }
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ResponseBlock {
     mean: f64,
-    began: Moment,
+    started: Moment,
     ended: Moment,
 }
 
@@ -48,7 +48,7 @@
 struct ConcurrencyLevel {
     answers: u32,
     sum: f64,
-    began: Moment,
+    started: Moment,
     last_block: Option<ResponseBlock>,
 }
 
@@ -56,7 +56,7 @@
     /// Counts an answer and returns whether it was the last of a block.
     fn count(&mut self, ratio: f64, now: Moment) -> bool {
         if self.answers == 0 {
-            self.began = now;
+            self.started = now;
         }
         self.answers += 1;
         self.sum += ratio;
@@ -64,7 +64,7 @@
             return false;
         }
         let mean = self.sum / f64::from(self.answers);
-        self.last_block = Some(ResponseBlock { mean, began: self.began, ended: now });
+        self.last_block = Some(ResponseBlock { mean, started: self.started, ended: now });
         (self.answers, self.sum) = (0, 0.0);
         true
     }
@@ -165,8 +165,8 @@
         let throughput =
             |index: usize, block: ResponseBlock| (index + 1) as f64 / block.mean.max(1e-3);
         let fewer = (0..index).filter_map(|fewer| {
-            let block = self.levels[fewer].last_block.filter(|block| block.ended > here.began)?;
-            (block.began < here.ended).then(|| (fewer, throughput(fewer, block)))
+            let block = self.levels[fewer].last_block.filter(|block| block.ended > here.started)?;
+            (block.started < here.ended).then(|| (fewer, throughput(fewer, block)))
         });
         let Some((best, most)) = fewer.max_by(|a, b| a.1.total_cmp(&b.1)) else { return };
         if throughput(index, here) < most * FALLING_RATIO {
