--- a/crates/decide/tests/support/quota_simulation.rs
+++ b/crates/decide/tests/support/quota_simulation.rs
@@ -1,5 +1,5 @@
-//! One customer that calls through many entries, the VMs that place its calls, and its owner: without
-//! network. Messages take their time, VMs are lost, cut off and back.
+//! Simulation of one customer that calls through many entries, the placer VMs and its owner, without a network.
+//! Messages are delayed; VMs are lost, cut off and connected again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,103 +19,103 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// One direction of a message between failure domains.
+/// The one-way delay of a message between failure domains.
 const MESSAGE_DELAY: Duration = Duration::from_millis(3);
 
-/// How long an owner is waited for.
+/// How long a holder waits for an owner's answer.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How often holders ask ahead of need.
+/// How often holders request leases ahead of need.
 const REQUEST_PERIOD: Duration = Duration::from_millis(100);
 
-/// For how long and how often a call at a cut-off entry looks for a placer.
+/// How long and how often a call at a cut-off entry looks for a placer.
 const PLACER_SEARCH_TIMEOUT: Duration = Duration::from_secs(1);
 const PLACER_SEARCH_PERIOD: Duration = Duration::from_millis(50);
 
-/// How long the owners have run before the first call.
+/// How long the owners run before the first call.
 const WARM_UP: Duration = Duration::from_secs(10);
 
 /// How long it takes the VMs to agree that one of them is lost.
 pub(crate) const DETECTION_DELAY: Duration = Duration::from_millis(1_200);
 
-/// Whom calls are counted by.
+/// Which VMs count calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountedBy {
-    /// The VMs that place.
+    /// The placer VMs.
     Placers,
-    /// Each entry.
+    /// Every entry.
     Entries,
 }
 
-/// Which messages between an entry and the VMs that place are lost.
+/// Which messages between an entry and the placer VMs are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CutDirection {
     Both,
-    /// Those of the entry.
+    /// Those that the entry sends.
     ToPlacers,
-    /// Those of the VMs that place.
+    /// Those that the placer VMs send.
     ToEntries,
 }
 
-/// What happens to the VMs.
+/// An event that disturbs the VMs or the customer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
     /// The owner is lost for good.
     OwnerLost,
-    /// The VMs that place are cut in halves, each with an owner of its own, and joined again.
+    /// The placer VMs are split in two partitions, each with an owner of its own, and connected again.
     PlacersSplit { for_s: f64 },
-    /// This part of the entries reaches no VM that places. The membership continues to believe them
-    /// reachable, since they reach other entries.
+    /// This fraction of the entries reaches no placer VM. The membership still considers them reachable, since they
+    /// reach other entries.
     EntriesCut { fraction: f64, for_s: f64, direction: CutDirection },
-    /// A VM that places is lost for good, and with it what it had lent.
+    /// A placer VM is lost for good, and with it what it had lent.
     HolderLost,
-    /// The VMs that place restart all at once, with nothing in memory.
+    /// All placer VMs restart at once and lose their state.
     AllRestart,
-    /// The rate and the burst are multiplied.
+    /// The customer's allowed rate and burst are multiplied by a factor.
     LimitsScaled { factor: f64 },
-    /// The customer calls so many times as often.
+    /// The customer's call rate is multiplied by a factor.
     LoadSpike { factor: f64, for_s: f64 },
 }
 
-/// A run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct CustomerScenario {
     pub(crate) counted_by: CountedBy,
-    /// Calls a second that the customer makes.
+    /// Calls per second that the customer makes.
     pub(crate) calls_per_s: f64,
-    /// Calls a second that it may make.
+    /// Calls per second that it may make.
     pub(crate) allowed_per_s: f64,
-    /// Its burst, as seconds of its rate.
+    /// Its burst, in seconds of its allowed rate.
     pub(crate) burst_s: f64,
     pub(crate) entries: usize,
-    /// Through how many of them its callers come.
+    /// How many of the entries its callers use.
     pub(crate) used_entries: usize,
     pub(crate) seconds: f64,
     pub(crate) faults: Vec<(f64, Fault)>,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CustomerResult {
     pub(crate) asked: u32,
     pub(crate) refused: u32,
-    /// Calls that were refused though the customer had made no more in the window than nine tenths of what it
-    /// is allowed there.
+    /// Calls that were refused although the customer had made at most nine tenths of the calls that it is allowed in
+    /// the window.
     pub(crate) wrongly_refused: u32,
     /// Calls that waited for an owner's answer.
     pub(crate) waited: u32,
     /// Messages to owners.
     pub(crate) messages: u32,
-    /// By how much the worst_window window is over the rate and burst, as a part of what may be borne.
+    /// By how much the worst window exceeds the rate and burst, as a fraction of the tolerated excess.
     pub(crate) excess: f64,
-    /// The greatest number of calls in a window, and what is allowed there.
+    /// The number of calls in the worst window, and the limit there.
     pub(crate) worst_window: (u32, f64),
     /// When calls ran.
     ran_at: Vec<Moment>,
 }
 
 impl CustomerResult {
-    /// Counts the calls that ran in some seconds of the run.
+    /// Counts the calls that ran between two times of the run, in seconds.
     pub(crate) fn ran_between(&self, from_s: f64, until_s: f64) -> u32 {
         let at = |s: f64| Moment::ZERO + WARM_UP + Duration::from_secs_f64(s);
         let within = self.ran_at.iter().filter(|&&ran| ran >= at(from_s) && ran < at(until_s));
@@ -126,7 +126,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Call,
-    /// A call at an entry that was cut off waits until a moment.
+    /// A call at a cut-off entry tries again, until a deadline.
     OfflineRetry {
         entry: usize,
         until: Moment,
@@ -148,7 +148,7 @@
 
 struct OwnerVm {
     owner: QuotaOwner,
-    lives: bool,
+    is_alive: bool,
 }
 
 pub(crate) struct CustomerSimulation {
@@ -163,7 +163,7 @@
     entries: Vec<OfflineShares>,
     names: Vec<MemberName>,
     cut: Vec<Option<CutDirection>>,
-    /// Which VMs that place live, and how many requests of each are under way.
+    /// Which placer VMs are alive, and how many requests of each are in flight.
     alive: Vec<bool>,
     in_flight: Vec<u32>,
     waiting_entries: Vec<Vec<usize>>,
@@ -172,11 +172,11 @@
     last_event: u64,
     ran_at: Vec<Moment>,
     asked_at: Vec<Moment>,
-    /// The first of them that is in the present window.
+    /// The index of the first call in the current window.
     window_start: usize,
-    /// The limits, each from a moment on.
+    /// The factors on the limits, each with the time from which it applies.
     limit_changes: Vec<(Moment, f64)>,
-    outcome: CustomerResult,
+    result: CustomerResult,
 }
 
 const PLACERS: usize = 5;
@@ -184,7 +184,7 @@
 /// The VM that is lost by [`Fault::HolderLost`].
 const LOST_HOLDER: usize = 1;
 
-/// Which part of the calls each VM that places takes: services differ, and one VM places none.
+/// The fraction of the calls that each placer VM handles: services differ, and the last VM handles none.
 const LOAD_FRACTIONS: [f64; PLACERS] = [0.45, 0.3, 0.16, 0.09, 0.0];
 
 fn member(kind: &str, number: usize) -> MemberName {
@@ -220,7 +220,7 @@
             holders: (0..holders).map(|n| QuotaHolder::new(member("vm", n))).collect(),
             owner_links: vec![(0, true); holders],
             owners: (0..PLACERS)
-                .map(|_| OwnerVm { owner: QuotaOwner::new(start), lives: true })
+                .map(|_| OwnerVm { owner: QuotaOwner::new(start), is_alive: true })
                 .collect(),
             entries: (0..scenario.entries)
                 .map(|_| OfflineShares::new(IncarnationNumber(1)))
@@ -237,11 +237,11 @@
             asked_at: Vec::new(),
             window_start: 0,
             limit_changes: vec![(start, 1.0)],
-            outcome: CustomerResult::default(),
+            result: CustomerResult::default(),
             scenario: scenario.clone(),
             rule,
         };
-        // The owners have run for long: their buckets are full.
+        // After the warm-up the owners' buckets are full.
         let first = start + WARM_UP;
         simulation.schedule(first, Event::Call);
         simulation.schedule(first, Event::Tick);
@@ -263,7 +263,7 @@
     fn handle(&mut self, event: Event, now: Moment) {
         match event {
             Event::Call => self.call(now),
-            Event::OfflineRetry { entry, until } => self.take_offline(entry, until, now),
+            Event::OfflineRetry { entry, until } => self.serve_offline(entry, until, now),
             Event::Tick => {
                 for holder in 0..self.holders.len() {
                     if self.alive[holder] {
@@ -292,10 +292,10 @@
             / (self.scenario.calls_per_s * self.load_factor);
         self.schedule(now + Duration::from_secs_f64(gap), Event::Call);
         let entry = self.random.random_range(0..self.scenario.used_entries);
-        self.outcome.asked += 1;
+        self.result.asked += 1;
         self.asked_at.push(now);
         if self.cut[entry].is_some() {
-            return self.take_offline(entry, now + PLACER_SEARCH_TIMEOUT, now);
+            return self.serve_offline(entry, now + PLACER_SEARCH_TIMEOUT, now);
         }
         self.place(entry, now);
     }
@@ -307,15 +307,15 @@
             QuotaDecision::Allowed => self.run_call(entry, now),
             QuotaDecision::Refused(_) => self.count_refused(now),
             QuotaDecision::Pending => {
-                self.outcome.waited += 1;
+                self.result.waited += 1;
                 self.waiting_entries[holder].push(entry);
             }
         }
         self.request(holder, false, now);
     }
 
-    /// Serves a call of a cut-off entry, or has it wait until a moment.
-    fn take_offline(&mut self, entry: usize, until: Moment, now: Moment) {
+    /// Serves a call of a cut-off entry, or retries it until a deadline.
+    fn serve_offline(&mut self, entry: usize, until: Moment, now: Moment) {
         if self.cut[entry].is_none() {
             return self.place(entry, now);
         }
@@ -334,7 +334,7 @@
             return entry;
         }
         let mut drawn = self.random.random::<f64>();
-        let lost = self.alive.iter().position(|lives| !lives);
+        let lost = self.alive.iter().position(|is_alive| !is_alive);
         let found = LOAD_FRACTIONS.iter().position(|part| {
             drawn -= part;
             drawn < 0.0
@@ -343,7 +343,7 @@
         if lost == Some(found) { PLACERS - 1 } else { found }
     }
 
-    /// Sends an entry's message to the VM that lends to it, where one is due.
+    /// Sends an entry's message to its lender if one is due.
     fn contact_lender(&mut self, entry: usize, now: Moment) {
         let lender = match entry % PLACERS {
             LOST_HOLDER if !self.alive[LOST_HOLDER] => 0,
@@ -369,7 +369,7 @@
         }
     }
 
-    /// Has a holder that lends and awaits no answer send its owner a sign of life.
+    /// Sends a heartbeat to the owner from a holder that lends and has no request in flight.
     fn send_heartbeat(&mut self, holder: usize, now: Moment) {
         let lends = self.holders[holder].lender().customers().next().is_some();
         let (owner, reached) = self.owner_links[holder];
@@ -384,7 +384,7 @@
     }
 
     fn count_refused(&mut self, now: Moment) {
-        self.outcome.refused += 1;
+        self.result.refused += 1;
         let window = Duration::from_millis(u64::from(QuotaBounds::default().window_ms));
         while now.since(self.asked_at[self.window_start]) >= window {
             self.window_start += 1;
@@ -393,15 +393,15 @@
         let factor = self.limit_changes.last().map_or(1.0, |limit| limit.1);
         let allowed =
             self.scenario.allowed_per_s * factor * (window.as_secs_f64() + self.scenario.burst_s);
-        self.outcome.wrongly_refused += u32::from(asked as f64 <= allowed * 0.9);
+        self.result.wrongly_refused += u32::from(asked as f64 <= allowed * 0.9);
     }
 
     fn request(&mut self, holder: usize, all: bool, now: Moment) {
         for (_, request) in self.holders[holder].requests(all, now) {
-            self.outcome.messages += 1;
+            self.result.messages += 1;
             self.in_flight[holder] += 1;
             let (owner, reached) = self.owner_links[holder];
-            match reached && self.owners[owner].lives {
+            match reached && self.owners[owner].is_alive {
                 true => self.schedule(
                     now + MESSAGE_DELAY,
                     Event::RequestArrives { holder, owner, request },
@@ -436,8 +436,8 @@
         let allowed = answered.allowed as usize;
         let answers = allowed + answered.refused.len();
         let waiting: Vec<usize> = self.waiting_entries[holder].drain(..answers).collect();
-        for (place, entry) in waiting.into_iter().enumerate() {
-            if place < allowed { self.run_call(entry, now) } else { self.count_refused(now) }
+        for (index, entry) in waiting.into_iter().enumerate() {
+            if index < allowed { self.run_call(entry, now) } else { self.count_refused(now) }
         }
         self.request(holder, false, now);
     }
@@ -445,7 +445,7 @@
     fn begin_fault(&mut self, fault: Fault, now: Moment) {
         self.schedule(now + DETECTION_DELAY, Event::FaultDetected(fault));
         match fault {
-            Fault::OwnerLost => self.owners[0].lives = false,
+            Fault::OwnerLost => self.owners[0].is_alive = false,
             Fault::PlacersSplit { for_s } => {
                 let first_half = self.holders.len() / 2;
                 self.owner_links[..first_half].iter_mut().for_each(|link| link.1 = false);
@@ -488,7 +488,7 @@
         }
     }
 
-    /// The VMs have agreed who is out of reach.
+    /// Applies a fault once the VMs have agreed who is out of reach.
     fn detect_fault(&mut self, fault: Fault, now: Moment) {
         let without_one = 1.0 - 1.0 / PLACERS as f64;
         match fault {
@@ -542,12 +542,12 @@
         }
     }
 
-    /// Looks at each window. A lower limit binds a whole window after it is in force, so a window is held
-    /// to the highest limit of itself and of the window before.
+    /// Checks every window. A lower limit binds only after a whole window, so each window is held to the highest
+    /// limit within itself and the window before it.
     fn measure(mut self) -> CustomerResult {
         let bounds = QuotaBounds::default();
         let window = Duration::from_millis(u64::from(bounds.window_ms));
-        let (allowed, excess) = (self.scenario.allowed_per_s, &mut self.outcome.excess);
+        let (allowed, excess) = (self.scenario.allowed_per_s, &mut self.result.excess);
         let mut first = 0;
         for (last, &at) in self.ran_at.iter().enumerate() {
             while at.since(self.ran_at[first]) >= window {
@@ -561,15 +561,15 @@
             let within = self.limit_changes.iter().filter(|limit| limit.0 > since && limit.0 <= at);
             let factor = within.map(|limit| limit.1).fold(before, f64::max);
             let limit = allowed * factor * (window.as_secs_f64() + self.scenario.burst_s);
-            let borne =
+            let tolerated =
                 limit * f64::from(bounds.excess_percent) / 100.0 + f64::from(bounds.excess_calls);
-            let over = (calls - limit) / borne;
+            let over = (calls - limit) / tolerated;
             if over > *excess {
                 *excess = over;
-                self.outcome.worst_window = (calls as u32, limit);
+                self.result.worst_window = (calls as u32, limit);
             }
         }
-        self.outcome.ran_at = self.ran_at;
-        self.outcome
+        self.result.ran_at = self.ran_at;
+        self.result
     }
 }
