--- a/crates/decide/benches/bounds_decide.rs
+++ b/crates/decide/benches/bounds_decide.rs
@@ -53,10 +53,10 @@
     }
 
     fn get(&self, call: u64) -> (MemberName, SlotAsk) {
-        let place = call as usize % self.asks.len();
-        let mut ask = self.asks[place].clone();
+        let index = call as usize % self.asks.len();
+        let mut ask = self.asks[index].clone();
         ask.call.0 = call;
-        (self.entries[place].clone(), ask)
+        (self.entries[index].clone(), ask)
     }
 }
 
@@ -104,8 +104,8 @@
     let (mut spent, mut allocations) = (Duration::ZERO, 0);
     for call in 0..count {
         let scattered = call.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
-        let place = (scattered % placers.len() as u64) as usize;
-        let placer = &mut placers[place];
+        let index = (scattered % placers.len() as u64) as usize;
+        let placer = &mut placers[index];
         let now = Moment::from_micros(call * 50);
         let (entry, ask) = prepared.get(call);
         let route = call as usize % 40 % 5;
--- a/crates/decide/benches/bounds_detect.rs
+++ b/crates/decide/benches/bounds_detect.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns the median detection time in seconds.
-    fn detection(&self, shape: &ServiceShape, fault: UpstreamFault) -> f64 {
+    fn median_detection_time(&self, shape: &ServiceShape, fault: UpstreamFault) -> f64 {
         let times = (0..SEEDS).map(|seed| {
             let mut detector = self.open(shape, seed);
             let mut run = TrafficRun::open(*shape, fault, false, 100 + seed);
@@ -127,12 +127,17 @@
 
 /// Prints a row and returns its detection times and false ejections.
 fn print_row(detector: &Detector, shape: &ServiceShape, hours: f64) -> (Vec<f64>, f64) {
-    let times: Vec<f64> = FAULTS.iter().map(|&fault| detector.detection(shape, fault)).collect();
-    let wrong = detector.false_ejections(shape, hours, 7);
+    let times: Vec<f64> =
+        FAULTS.iter().map(|&fault| detector.median_detection_time(shape, fault)).collect();
+    let false_ejections = detector.false_ejections(shape, hours, 7);
     let cells: Vec<String> =
         times.iter().map(|&time| format!("{:>10}", format_time(time))).collect();
-    print_line(&format!("{:<34}{} | {wrong:.2} in {hours:.0} h", detector.name(), cells.join("")));
-    (times, wrong)
+    print_line(&format!(
+        "{:<34}{} | {false_ejections:.2} in {hours:.0} h",
+        detector.name(),
+        cells.join("")
+    ));
+    (times, false_ejections)
 }
 
 /// Compares the placer with five consecutive errors. Returns whether the bound holds.
@@ -142,13 +147,13 @@
         shape.upstreams, shape.entries, shape.rate
     ));
     print_header();
-    let (first, first_wrong) = print_row(&Detector::ConsecutiveErrors(5), shape, hours);
+    let (first, first_false_ejections) = print_row(&Detector::ConsecutiveErrors(5), shape, hours);
     print_row(&Detector::EntrySequential(rule.clone()), shape, hours);
-    let (placer, wrong) = print_row(&Detector::Placer(rule.clone()), shape, hours);
+    let (placer, false_ejections) = print_row(&Detector::Placer(rule.clone()), shape, hours);
     let ratios: Vec<f64> = first.iter().zip(&placer).map(|(a, b)| a / b).collect();
     let cells: Vec<String> = ratios.iter().map(|ratio| format!("{ratio:>9.0}x")).collect();
     print_line(&format!("{:<34}{}", "placer sooner by at least", cells.join("")));
-    ratios.iter().all(|&ratio| ratio >= MIN_SPEEDUP) && wrong <= first_wrong
+    ratios.iter().all(|&ratio| ratio >= MIN_SPEEDUP) && false_ejections <= first_false_ejections
 }
 
 fn print_price_curve() {
@@ -157,15 +162,15 @@
     for limit in [2, 3, 5, 8] {
         print_row(&Detector::ConsecutiveErrors(limit), &GUILD, HOURS);
     }
-    for (late, wrong) in [(200, 1), (10, 1), (1, 1), (1, 10), (1, 60), (1, 10_000)] {
-        print_line(&format!("prices {late} : {wrong}"));
-        print_row(&Detector::Placer(rule_with_prices(late, wrong)), &GUILD, HOURS);
+    for (late, false_price) in [(200, 1), (10, 1), (1, 1), (1, 10), (1, 60), (1, 10_000)] {
+        print_line(&format!("prices {late} : {false_price}"));
+        print_row(&Detector::Placer(rule_with_prices(late, false_price)), &GUILD, HOURS);
     }
 }
 
 /// Runs healthy traffic through the defaults of both deployments and counts false ejections.
 fn healthy(hours: f64) -> f64 {
-    let mut wrong = 0.0;
+    let mut false_ejections = 0.0;
     for (name, shape, rule) in
         [("Guild", GUILD, build::guild_rule(15)), ("Convoy Society", CONVOY, build::convoy_rule(8))]
     {
@@ -187,16 +192,16 @@
         print_line(&format!(
             "healthy, {name}: {found:.0} false ejections in {hours:.0} upstream-hours"
         ));
-        wrong += found;
+        false_ejections += found;
     }
-    wrong
+    false_ejections
 }
 
 fn main() -> ExitCode {
     let hours = std::env::var("DECIDE_HEALTHY_HOURS").ok();
     if let Some(hours) = hours.and_then(|hours| hours.parse().ok()) {
-        let wrong = healthy(hours);
-        return if wrong == 0.0 { ExitCode::SUCCESS } else { ExitCode::FAILURE };
+        let false_ejections = healthy(hours);
+        return if false_ejections == 0.0 { ExitCode::SUCCESS } else { ExitCode::FAILURE };
     }
     let mut met = compare("Guild", &GUILD, &build::guild_rule(15), HOURS);
     met &= compare("Convoy Society", &CONVOY, &build::convoy_rule(8), HOURS);
--- a/crates/decide/benches/bounds_place.rs
+++ b/crates/decide/benches/bounds_place.rs
@@ -40,7 +40,7 @@
     Random,
     LeastOfTwo,
     Gossip,
-    Bulk,
+    GrantAhead,
     EachCall,
 }
 
@@ -48,7 +48,7 @@
     (Strategy::Random, "random"),
     (Strategy::LeastOfTwo, "least of two, own counts"),
     (Strategy::Gossip, "least of two, gossiped"),
-    (Strategy::Bulk, "slots granted ahead"),
+    (Strategy::GrantAhead, "slots granted ahead"),
     (Strategy::EachCall, "a grant for each call"),
 ];
 
@@ -190,10 +190,10 @@
                 self.after(GOSSIP_INTERVAL_US, Event::Gossip);
             }
             Event::GiveBack { entry, number } => {
-                if let Some(place) =
+                if let Some(index) =
                     self.kept_slots[entry].iter().position(|kept| kept.number == number)
                 {
-                    let kept = self.kept_slots[entry].remove(place).expect("the place was found");
+                    let kept = self.kept_slots[entry].remove(index).expect("the index was found");
                     self.messages += 1.0;
                     self.after(NETWORK_DELAY_US, Event::Freed { upstream: kept.upstream });
                 }
@@ -220,7 +220,7 @@
         self.calls.insert(call, Call { arrived: self.now, entry, route, work, grant: None });
         match self.strategy {
             Strategy::EachCall => self.ask_placer(call),
-            Strategy::Bulk => match self.kept_slots[entry].pop_front() {
+            Strategy::GrantAhead => match self.kept_slots[entry].pop_front() {
                 Some(kept) => self.reach(call, kept.upstream),
                 None => self.ask_placer(call),
             },
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Returns the load of an upstream by the last gossip, with the calls that this entry has sent there.
+    /// Returns the load of an upstream by the last gossip, plus the calls that this entry has sent there.
     fn known_load(&self, entry: usize, upstream: usize) -> u32 {
         self.gossiped_load[upstream] + self.sent_by_entry[entry][upstream]
     }
@@ -287,7 +287,7 @@
                 self.after(NETWORK_DELAY_US, Event::Settle { call });
                 return;
             }
-            Strategy::Bulk => {
+            Strategy::GrantAhead => {
                 let number = call;
                 self.kept_slots[entry].push_back(KeptSlot { number, upstream });
                 self.after(SLOT_HOLD_US, Event::GiveBack { entry, number });
@@ -300,7 +300,7 @@
     }
 
     fn handle_ask(&mut self, call: u64) {
-        if self.strategy == Strategy::Bulk {
+        if self.strategy == Strategy::GrantAhead {
             self.queue.push_back(call);
             return self.grant_ahead();
         }
--- a/crates/decide/benches/traffic/detectors.rs
+++ b/crates/decide/benches/traffic/detectors.rs
@@ -53,7 +53,7 @@
 pub struct IndependentEntries {
     upstreams: usize,
     tests: Vec<EntryTest>,
-    out: Vec<Vec<bool>>,
+    ejected: Vec<Vec<bool>>,
     false_ejections: f64,
 }
 
@@ -76,7 +76,7 @@
         Self {
             upstreams,
             tests: (0..entries).map(|_| test()).collect(),
-            out: vec![vec![false; upstreams]; entries],
+            ejected: vec![vec![false; upstreams]; entries],
             false_ejections: 0.0,
         }
     }
@@ -93,7 +93,7 @@
     ) -> Option<usize> {
         for _ in 0..8 {
             let upstream = random.random_range(0..self.upstreams);
-            if !self.out[entry][upstream] {
+            if !self.ejected[entry][upstream] {
                 return Some(upstream);
             }
         }
@@ -130,7 +130,7 @@
             return;
         }
         if upstream == 0 {
-            self.out[entry][0] = true;
+            self.ejected[entry][0] = true;
             return;
         }
         self.false_ejections += 1.0 / self.tests.len() as f64;
@@ -141,8 +141,8 @@
     }
 
     fn found(&self) -> bool {
-        let out = self.out.iter().filter(|out| out[0]).count();
-        out * 10 >= self.out.len() * 9
+        let count = self.ejected.iter().filter(|ejected| ejected[0]).count();
+        count * 10 >= self.ejected.len() * 9
     }
 
     fn false_ejections(&self) -> f64 {
@@ -167,7 +167,7 @@
 
 impl PlacerDetector {
     pub fn open(rule: ServiceRule, upstreams: usize, slots: u32, seed: u64) -> Self {
-        let mut one = Self {
+        let mut detector = Self {
             placer: ServicePlacer::new(build::settings(rule, seed)),
             upstreams,
             slots,
@@ -180,9 +180,9 @@
             false_ejections: 0.0,
             decisions: 0,
         };
-        one.placer.finish_recount(Moment::ZERO, &mut one.actions);
-        one.renew(Moment::ZERO);
-        one
+        detector.placer.finish_recount(Moment::ZERO, &mut detector.actions);
+        detector.renew(Moment::ZERO);
+        detector
     }
 
     fn renew(&mut self, now: Moment) {
--- a/crates/decide/src/capacity.rs
+++ b/crates/decide/src/capacity.rs
@@ -68,15 +68,15 @@
     pub fn record_busy(&mut self, busy: u32, now: Moment) {
         self.advance(now);
         self.busy = busy;
-        let present = self.intervals.back_mut().expect("advance leaves an interval");
-        present.peak = present.peak.max(busy);
+        let current = self.intervals.back_mut().expect("advance leaves an interval");
+        current.peak = current.peak.max(busy);
     }
 
     /// Records a call refused for lack of a slot.
     pub fn record_refusal(&mut self, now: Moment) {
         self.advance(now);
-        let present = self.intervals.back_mut().expect("advance leaves an interval");
-        present.refused = present.refused.saturating_add(1);
+        let current = self.intervals.back_mut().expect("advance leaves an interval");
+        current.refused = current.refused.saturating_add(1);
     }
 
     /// Returns the use at the 95th percentile.
@@ -87,16 +87,17 @@
         peaks.get(rank.saturating_sub(1)).copied().unwrap_or(0)
     }
 
-    /// Returns the advice for the healthy upstreams. `call` is how long a call holds a slot on average.
+    /// Returns the advice for the healthy upstreams. `call_duration` is how long a call holds a slot on
+    /// average.
     pub fn advise(
         &self,
         healthy: &[UpstreamCapacity],
         floor: u32,
-        call: Duration,
+        call_duration: Duration,
     ) -> CapacityAdvice {
         let refused: u64 = self.intervals.iter().map(|interval| u64::from(interval.refused)).sum();
         let busy_p95 = self.busy_p95();
-        let needed = floor.max(busy_p95.saturating_add(self.refused_call_slots(call)));
+        let needed = floor.max(busy_p95.saturating_add(self.refused_call_slots(call_duration)));
         let history_is_full = self.intervals.len() >= INTERVALS;
         CapacityAdvice {
             busy_p95,
@@ -111,9 +112,9 @@
     }
 
     /// Returns how many slots the refused calls of the worst interval would have held.
-    fn refused_call_slots(&self, call: Duration) -> u32 {
+    fn refused_call_slots(&self, call_duration: Duration) -> u32 {
         let worst = self.intervals.iter().map(|interval| interval.refused).max().unwrap_or(0);
-        let slots = f64::from(worst) * call.as_secs_f64() / INTERVAL.as_secs_f64();
+        let slots = f64::from(worst) * call_duration.as_secs_f64() / INTERVAL.as_secs_f64();
         slots.ceil().min(f64::from(u32::MAX)) as u32
     }
 
@@ -140,10 +141,10 @@
 struct SlotsByDomain<'a>(BTreeMap<&'a DomainName, Vec<u32>>);
 
 impl<'a> SlotsByDomain<'a> {
-    fn from_units(units: &'a [UpstreamCapacity]) -> Self {
+    fn from_upstreams(upstreams: &'a [UpstreamCapacity]) -> Self {
         let mut domains = BTreeMap::<_, Vec<u32>>::new();
-        for unit in units {
-            domains.entry(&unit.domain).or_default().push(unit.slots);
+        for upstream in upstreams {
+            domains.entry(&upstream.domain).or_default().push(upstream.slots);
         }
         for slots in domains.values_mut() {
             slots.sort_unstable();
@@ -170,8 +171,8 @@
 /// Each added upstream counts as having the slots of the smallest one and as placed in the domain with
 /// the fewest slots.
 fn upstreams_to_switch_on(healthy: &[UpstreamCapacity], needed: u32) -> u32 {
-    let domains = SlotsByDomain::from_units(healthy);
-    let size = healthy.iter().map(|unit| unit.slots).min().unwrap_or(1).max(1);
+    let domains = SlotsByDomain::from_upstreams(healthy);
+    let size = healthy.iter().map(|upstream| upstream.slots).min().unwrap_or(1).max(1);
     let mut totals: Vec<u32> = domains.totals().collect();
     // A service in a single domain does not survive its loss, however much is added there, so a second
     // domain is assumed.
@@ -193,7 +194,7 @@
 /// Returns how many upstreams can be switched off, each from the domain with the most slots, while the
 /// needed slots still survive the loss of the largest domain.
 fn upstreams_to_leave_off(healthy: &[UpstreamCapacity], needed: u32) -> u32 {
-    let mut domains = SlotsByDomain::from_units(healthy);
+    let mut domains = SlotsByDomain::from_upstreams(healthy);
     let mut off = 0;
     while domains.remove_from_largest() {
         if domains.slots_after_largest_loss() < needed.max(1) {
--- a/crates/decide/src/closed.rs
+++ b/crates/decide/src/closed.rs
@@ -1,10 +1,10 @@
 //! Upstreams that have asked this VM to send them no calls.
 //!
-//! An overloaded upstream refuses calls and tells each VM how long to wait, or states in its answers that
-//! it is leaving. Each further call would cost its caller a retry, and the upstream work that it has no
-//! capacity for. The request binds the VM that received it, whichever placer places the VM's calls. So each
-//! ask to a placer lists the upstreams that are closed to the VM, and the VM checks again right before it
-//! sends. A closure ends after the stated time, or when the upstream restarts.
+//! An overloaded upstream refuses calls and tells each VM how long to wait, or states in its answers that it
+//! is leaving. Each further call would cost its caller a retry, and would add work that the upstream has no
+//! capacity for. What an upstream asks for applies to the VM that it told, whichever placer places the VM's
+//! calls. So each ask to a placer lists the upstreams that are closed to the VM, and the VM checks again
+//! right before it sends. A closure ends after the stated time, or when the upstream restarts.
 
 use model::{
     moment::Moment,
--- a/crates/decide/src/detect/evidence.rs
+++ b/crates/decide/src/detect/evidence.rs
@@ -33,7 +33,7 @@
 }
 
 impl Excursion {
-    /// Counts an outcome; `was_zero` tells that the statistic was zero before it.
+    /// Counts an outcome; `was_zero` is whether the statistic was zero before it.
     pub(super) fn count(&mut self, bad: bool, was_zero: bool, all: BadShare) {
         if was_zero {
             *self = Self { before: all, own: BadShare::default() };
--- a/crates/decide/src/detect/tally.rs
+++ b/crates/decide/src/detect/tally.rs
@@ -81,12 +81,12 @@
 /// Selects the outcomes by one criterion.
 pub(super) type ShareSelector = fn(&mut OutcomeShares) -> &mut BadShare;
 
-pub(super) fn select_failures(tally: &mut OutcomeShares) -> &mut BadShare {
-    &mut tally.failures
+pub(super) fn select_failures(shares: &mut OutcomeShares) -> &mut BadShare {
+    &mut shares.failures
 }
 
-pub(super) fn select_slow(tally: &mut OutcomeShares) -> &mut BadShare {
-    &mut tally.slow
+pub(super) fn select_slow(shares: &mut OutcomeShares) -> &mut BadShare {
+    &mut shares.slow
 }
 
 /// The outcomes of one route, decaying with one half-life.
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -18,7 +18,8 @@
 const SHED_COOLDOWN: Duration = Duration::from_millis(100);
 
 /// How long after a shed answer an upstream counts as overloaded, so that slow answers are not evidence
-/// against it: until its limit has grown back by a few slots and would have met the next shed answer.
+/// against it. By then its limit has grown back by a few slots, and a further overload would have led to
+/// another shed answer.
 const OVERLOAD_SPAN: Duration = Duration::from_secs(5);
 
 /// The number of answers in a block, counted for each concurrency level. The mean of so many is accurate
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -5,12 +5,12 @@
 //! resends, and each upstream looks faulty. So a crash counts against the request as well: after
 //! two crashes without a success in between, the whole fleet refuses the request for a while.
 //!
-//! The limits: one crash proves nothing, since every call in flight ends with the process, so up to
-//! a slot count of innocent requests are involved besides the one that caused it. A second crash of
-//! the same request on another process is rarely chance, and a success in between clears a request
-//! (a popular read is in flight at most crashes, and succeeds all the time). While a request is
-//! involved in one crash, only one of it runs at a time, so that it cannot crash a third upstream
-//! before the second crash is known.
+//! The limits: one crash proves nothing, since every call in flight ends with the process, so
+//! besides the request that caused it, as many innocent ones as the upstream has slots may be
+//! involved. A second crash of the same request on another process is rarely chance, and a success
+//! in between clears a request (a popular read is in flight at most crashes, and succeeds all the
+//! time). While a request is involved in one crash, only one call of it runs at a time, so that it
+//! cannot crash a third upstream before the second crash is known.
 
 use model::{moment::Moment, slot::RequestFingerprint};
 use std::{
@@ -40,12 +40,12 @@
     /// Refuses a request until a moment. A later moment replaces an earlier one. Returns whether
     /// anything changed.
     pub fn add(&mut self, fingerprint: RequestFingerprint, until: Moment) -> bool {
-        let held = self.expiries.get(&fingerprint).copied();
-        if held.is_some_and(|held| held >= until) {
+        let known = self.expiries.get(&fingerprint).copied();
+        if known.is_some_and(|known| known >= until) {
             return false;
         }
-        if let Some(held) = held {
-            self.by_expiry.remove(&(held, fingerprint));
+        if let Some(known) = known {
+            self.by_expiry.remove(&(known, fingerprint));
         }
         self.expiries.insert(fingerprint, until);
         self.by_expiry.insert((until, fingerprint));
--- a/crates/decide/src/quota/observed.rs
+++ b/crates/decide/src/quota/observed.rs
@@ -130,7 +130,7 @@
         allowed
     }
 
-    /// Tells whether this VM may allow a call of a customer without any record here. Each VM decides by a hash
+    /// Returns whether this VM may allow a call of a customer without any record here. Each VM decides by a hash
     /// of its name and the customer's, so that all together allow about as many calls as are tolerated.
     fn may_admit_unknown(
         &self,
--- a/crates/decide/src/retry_budget.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -244,8 +244,8 @@
         let ends = (0..=RETRY_WINDOW.as_millis() / LOOK_AHEAD_STEP.as_millis())
             .map(|step| at + LOOK_AHEAD_STEP * step as u32);
         let available = |end| {
-            let given = self.count(end, |bucket| bucket.retries);
-            self.budget(percent, burst, end) * purpose.budget_fraction() - given
+            let granted = self.count(end, |bucket| bucket.retries);
+            self.budget(percent, burst, end) * purpose.budget_fraction() - granted
         };
         ends.map(available).fold(f64::INFINITY, f64::min)
     }
--- a/crates/decide/src/shedding.rs
+++ b/crates/decide/src/shedding.rs
@@ -1,7 +1,7 @@
 //! Detects when a whole service sheds load: all its upstreams refuse many of their calls.
 //!
 //! Load: for some seconds all upstreams of a service refuse a large part of their calls, even if
-//! they have few. Harm prevented: the retries of ten seconds are spent in the first of them on
+//! they get few. Harm prevented: the retry budget of ten seconds is spent in the first of them on
 //! attempts that are refused as well, and none is left for the calls that could have waited until
 //! the service accepts calls again. The odds computed here decide when the placer holds retries and
 //! first attempts, and when it releases them.
