--- a/crates/decide/benches/bounds_decide.rs
+++ b/crates/decide/benches/bounds_decide.rs
@@ -53,10 +53,10 @@
     }
 
     fn get(&self, call: u64) -> (MemberName, SlotAsk) {
-        let place = call as usize % self.asks.len();
-        let mut ask = self.asks[place].clone();
+        let index = call as usize % self.asks.len();
+        let mut ask = self.asks[index].clone();
         ask.call.0 = call;
-        (self.entries[place].clone(), ask)
+        (self.entries[index].clone(), ask)
     }
 }
 
@@ -104,23 +104,23 @@
     let (mut spent, mut allocations) = (Duration::ZERO, 0);
     for call in 0..count {
         let scattered = call.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
-        let place = (scattered % placers.len() as u64) as usize;
-        let placer = &mut placers[place];
+        let index = (scattered % placers.len() as u64) as usize;
+        let placer = &mut placers[index];
         let now = Moment::from_micros(call * 50);
         let (entry, ask) = prepared.get(call);
         let route = call as usize % 40 % 5;
         let region = Region::new(ALLOCATOR);
-        let began = Instant::now();
+        let started = Instant::now();
         placer.ask(entry, ask, now, &mut actions);
-        spent += began.elapsed();
+        spent += started.elapsed();
         allocations += region.change().allocations;
         let Some(grant) = take_grant(&mut actions) else { continue };
         let took = Duration::from_millis(20);
         let settle = build::settle(&grant, route, call | 1 << 40, OutcomeClass::Success, took);
         let region = Region::new(ALLOCATOR);
-        let began = Instant::now();
+        let started = Instant::now();
         placer.settle(&settle, now + took, &mut actions);
-        spent += began.elapsed();
+        spent += started.elapsed();
         allocations += region.change().allocations;
         actions.clear();
     }
@@ -149,9 +149,9 @@
         let call = 4 + round * 7 % waiting;
         let (entry, ask) = prepared.get(call);
         let id = AskId { entry: entry.clone(), call: ask.call, attempt: 1 };
-        let began = Instant::now();
+        let started = Instant::now();
         placer.cancel(&id);
-        spent += began.elapsed();
+        spent += started.elapsed();
         placer.ask(entry, ask, Moment::ZERO, &mut actions);
         actions.clear();
     }
