--- a/crates/derive/src/lib.rs
+++ b/crates/derive/src/lib.rs
@@ -9,14 +9,14 @@
 
 use proc_macro::TokenStream;
 
-const RECORD: &str =
+const RECORD_ATTRIBUTES: &str =
     "#[derive(Clone, Debug, PartialEq, Eq, ::serde::Serialize, ::serde::Deserialize)]
      #[serde(rename_all = \"kebab-case\")]";
 
-const VALUE: &str = "#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, ::serde::Serialize, ::serde::Deserialize)]
+const VALUE_ATTRIBUTES: &str = "#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, ::serde::Serialize, ::serde::Deserialize)]
      #[serde(rename_all = \"kebab-case\")]";
 
-const KEY: &str = "#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, ::serde::Serialize, ::serde::Deserialize)]
+const KEY_ATTRIBUTES: &str = "#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, ::serde::Serialize, ::serde::Deserialize)]
      #[serde(rename_all = \"kebab-case\")]";
 
 /// Derives the common traits of a domain type.
@@ -30,13 +30,13 @@
 /// Refuses any other word at compile time.
 #[proc_macro_attribute]
 pub fn domain(kind: TokenStream, item: TokenStream) -> TokenStream {
-    let derives = match kind.to_string().as_str() {
-        "" => RECORD,
-        "value" => VALUE,
-        "key" => KEY,
+    let attributes = match kind.to_string().as_str() {
+        "" => RECORD_ATTRIBUTES,
+        "value" => VALUE_ATTRIBUTES,
+        "key" => KEY_ATTRIBUTES,
         other => panic!("#[domain({other})]: expected nothing, `value` or `key`"),
     };
-    let mut out: TokenStream = derives.parse().expect("the derives above are valid Rust");
-    out.extend(item);
-    out
+    let mut output: TokenStream = attributes.parse().expect("the derives above are valid Rust");
+    output.extend(item);
+    output
 }
