--- a/crates/derive/src/lib.rs
+++ b/crates/derive/src/lib.rs
@@ -1,11 +1,11 @@
-//! The common derives of domain types, as one attribute.
+//! The `#[domain]` attribute, which adds the common derives of domain types.
 //!
-//! Domain types share one set of traits. Spelling that set out on each of them invites drift: one
-//! type misses `Hash`, another is serialized under other names. `#[domain]` gives the set a name, so
-//! that a reader sees at once what kind of type stands below it.
+//! Domain types share a few sets of derives. Repeating them on every type lets the types diverge: one
+//! lacks `Hash`, another serializes its fields under a different naming convention. `#[domain]` names the
+//! set, which also tells the reader what kind of type follows.
 //!
-//! The attribute only puts derives in front of the item, which it leaves as it is. That needs no
-//! parser, so this crate has no dependencies.
+//! The attribute only prepends other attributes and leaves the item unchanged. This needs no parser, so
+//! the crate has no dependencies.
 
 use proc_macro::TokenStream;
 
@@ -21,13 +21,13 @@
 
 /// Derives the common traits of a domain type.
 ///
-/// - `#[domain]`: a record: `Clone`, `Debug`, `PartialEq`, `Eq` and serde with kebab-case names.
-/// - `#[domain(value)]`: a small number or flag: also `Copy`, `PartialOrd`, `Ord` and `Hash`.
-/// - `#[domain(key)]`: an owned name or identifier: also `PartialOrd`, `Ord` and `Hash`.
+/// - `#[domain]`, for records: `Clone`, `Debug`, `PartialEq`, `Eq`, and serde with kebab-case names.
+/// - `#[domain(value)]`, for small numbers and flags: also `Copy`, `PartialOrd`, `Ord` and `Hash`.
+/// - `#[domain(key)]`, for owned names and identifiers: also `PartialOrd`, `Ord` and `Hash`.
 ///
 /// # Panics
 ///
-/// Refuses any other word at compile time.
+/// Panics on any other argument, which fails the compilation.
 #[proc_macro_attribute]
 pub fn domain(kind: TokenStream, item: TokenStream) -> TokenStream {
     let attributes = match kind.to_string().as_str() {
@@ -36,7 +36,7 @@
         "key" => KEY_ATTRIBUTES,
         other => panic!("#[domain({other})]: expected nothing, `value` or `key`"),
     };
-    let mut output: TokenStream = attributes.parse().expect("the derives above are valid Rust");
+    let mut output: TokenStream = attributes.parse().expect("the attributes above are valid Rust");
     output.extend(item);
     output
 }
--- a/crates/intake/src/connection_limit.rs
+++ b/crates/intake/src/connection_limit.rs
@@ -1,9 +1,9 @@
-//! The connections of a port, and which of them makes room.
+//! Limits the open connections of a listening port.
 //!
-//! Load: thousands of upstreams keep a connection open between two announcements. Harm prevented: they take all
-//! that the port bears, and whoever comes later (an operator with an order, an upstream that leaves) waits
-//! unseen in the system's backlog until it gives up. So a connection that comes takes the place of the
-//! one that has been idle for longest, which is ended in order and may come again.
+//! Thousands of upstreams keep a connection open between two announcements. Without eviction they could use
+//! up the whole limit, and a later client, such as an operator sending a command or an upstream that is
+//! leaving, would wait unnoticed in the kernel's accept backlog until it timed out. A new connection
+//! therefore replaces the one that has been idle for longest, which is closed gracefully and may reconnect.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,10 +14,10 @@
 use crate::log_limiter::LogLimiter;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
-/// How often a line is logged of a port that is full.
+/// Minimum time between two warnings that the limit is reached.
 const LIMIT_LOG_PERIOD: Duration = Duration::from_secs(10);
 
-/// The places of a port.
+/// Limits the open connections of one port and closes idle ones to make room.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimiter {
     limit: u32,
@@ -29,16 +29,16 @@
 #[derive(Debug, Default)]
 struct ConnectionTable {
     last_number: u64,
-    /// Orders the moments at which connections became idle.
+    /// The last sequence number given to a connection that became idle.
     last_idle_sequence: u64,
-    /// Idle connections by that order.
+    /// Numbers of the idle connections by idle sequence, longest idle first.
     idle: BTreeMap<u64, u64>,
     connections: HashMap<u64, TrackedConnection>,
 }
 
 #[derive(Debug)]
 struct TrackedConnection {
-    /// Its turn among the idle ones. `None`: it carries a request, or was asked to end.
+    /// Its key in `ConnectionTable::idle`. `None` while it serves a request or after it was asked to close.
     idle_sequence: Option<u64>,
     close_signal: Arc<Notify>,
 }
@@ -59,7 +59,7 @@
         idle_sequence.map(|sequence| self.idle.remove(&sequence));
     }
 
-    /// Asks the connection that has been idle for longest to end. `false`: none is idle.
+    /// Asks the connection that has been idle for longest to close. Returns `false` if none is idle.
     fn close_longest_idle(&mut self) -> bool {
         let Some((_, number)) = self.idle.pop_first() else { return false };
         if let Some(connection) = self.connections.get_mut(&number) {
@@ -71,7 +71,7 @@
 }
 
 impl ConnectionLimiter {
-    /// Opens so many places.
+    /// Creates a limiter for `limit` connections, at least one.
     pub fn new(limit: usize) -> Self {
         let limit = u32::try_from(limit.clamp(1, Semaphore::MAX_PERMITS)).unwrap_or(u32::MAX);
         Self {
@@ -82,16 +82,17 @@
         }
     }
 
-    /// Takes a place, that of an idle connection where there is no other.
+    /// Waits for a permit. If the limit is reached, asks the longest idle connection to close first.
     pub async fn acquire(&self) -> ConnectionPermit {
         if let Ok(permit) = self.permits.clone().try_acquire_owned() {
             return self.register(permit);
         }
         let closing = self.lock().close_longest_idle();
         if let Some(passed_over) = self.limit_log.try_log() {
-            log::warn!(connections = self.limit, all_in_use = !closing, passed_over; "a port is full");
+            log::warn!(connections = self.limit, all_in_use = !closing, passed_over; "connection limit of a port reached");
         }
-        let permit = self.permits.clone().acquire_owned().await.expect("it is never closed");
+        let permit =
+            self.permits.clone().acquire_owned().await.expect("the semaphore is never closed");
         self.register(permit)
     }
 
@@ -109,9 +110,9 @@
         ConnectionPermit { registered: Arc::new(registered), close_signal }
     }
 
-    /// Waits until each connection has ended.
+    /// Waits until all permits have been returned.
     pub async fn all_closed(&self) {
-        // It is never closed.
+        // Acquiring fails only on a closed semaphore, and this one is never closed.
         let _ = self.permits.acquire_many(self.limit).await;
     }
 
@@ -120,7 +121,7 @@
     }
 }
 
-/// The place of one connection, held until the last copy is dropped.
+/// Permits one connection. The permit is returned when its last clone and last [`ActiveRequest`] are dropped.
 #[derive(Clone, Debug)]
 pub struct ConnectionPermit {
     registered: Arc<RegisteredConnection>,
@@ -150,19 +151,19 @@
 }
 
 impl ConnectionPermit {
-    /// Notes that a request has come. The connection is idle again when what is returned is dropped.
+    /// Marks the connection as active until the returned guard is dropped.
     pub fn begin_request(&self) -> ActiveRequest {
         self.registered.lock().set_active(self.registered.number);
         ActiveRequest(self.registered.clone())
     }
 
-    /// Waits until the connection has to make room.
+    /// Waits until the limiter asks this connection to close.
     pub async fn close_requested(&self) {
         self.close_signal.notified().await;
     }
 }
 
-/// A request on a connection.
+/// Marks a connection as active while a request is served; dropping it marks the connection idle.
 #[derive(Debug)]
 pub struct ActiveRequest(Arc<RegisteredConnection>);
 
