--- a/crates/decide/src/placer/locality.rs
+++ b/crates/decide/src/placer/locality.rs
@@ -12,9 +12,10 @@
 
 /// Broken paths to upstreams that work for others.
 ///
-/// Load: one VM or one failure domain reaches an upstream badly, or not at all. Prevents a healthy
-/// upstream from being ejected for all. A broken path is tried again after the time for which an
-/// ejection would have lasted, because nothing else tells when it works again.
+/// One VM or one failure domain may reach an upstream badly, or not at all. Recording its path as
+/// broken keeps a healthy upstream from being ejected for all. A broken path is tried again after
+/// the time for which an ejection would have lasted, because nothing else tells when it works
+/// again.
 #[derive(Debug, Default)]
 pub(super) struct BrokenPaths {
     until: BTreeMap<(PathSource, u32), Moment>,
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -1,16 +1,16 @@
 //! Finds requests that crash the upstreams that execute them.
 //!
-//! Load: a single request that its caller sends again and again through other VMs, and that crashes
-//! each upstream that executes it. Harm prevented: a service with ten upstreams is down after ten
-//! resends, and each upstream looks faulty. So a crash counts against the request as well: after
-//! two crashes without a success in between, the whole fleet refuses the request for a while.
+//! A caller may send again and again, through other VMs, a request that crashes each upstream that
+//! executes it. A service with ten upstreams would be down after ten resends, and each upstream
+//! would look faulty. So a crash counts against the request as well: after two crashes without a
+//! success in between, the whole fleet refuses the request for a while.
 //!
-//! The limits: one crash proves nothing, since every call in flight ends with the process, so
-//! besides the request that caused it, as many innocent ones as the upstream has slots may be
-//! involved. A second crash of the same request on another process is rarely chance, and a success
-//! in between clears a request (a popular read is in flight at most crashes, and succeeds all the
-//! time). While a request is involved in one crash, only one call of it runs at a time, so that it
-//! cannot crash a third upstream before the second crash is known.
+//! One crash proves nothing, since every call in flight ends with the process, so besides the
+//! request that caused it, as many innocent ones as the upstream has slots may be involved. A
+//! second crash of the same request on another process is rarely chance, and a success in between
+//! clears a request (a popular read is in flight at most crashes, and succeeds all the time). While
+//! a request is involved in one crash, only one call of it runs at a time, so that it cannot crash
+//! a third upstream before the second crash is known.
 
 use model::{moment::Moment, slot::RequestFingerprint};
 use std::{
--- a/crates/decide/src/retry_budget.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -1,18 +1,17 @@
 //! Budgets for the retries and hedges of a service.
 //!
-//! Load: an outage, or upstreams that shed, when every failure would be retried and every slow call
-//! hedged. Harm prevented: extra attempts that pile up just when the service has the least
-//! capacity. Separate budgets at 48 entries that each see one call in two seconds are either too
-//! small for the entry that needs a retry or too large in total. So the service's placer, which
-//! sees every attempt, keeps one budget for all of them; an entry without a placer has a small
-//! budget of its own.
+//! During an outage, or while upstreams shed, every failure would be retried and every slow call
+//! hedged: the extra attempts would pile up just when the service has the least capacity. Separate
+//! budgets at 48 entries that each see one call in two seconds are either too small for the entry
+//! that needs a retry or too large in total. So the service's placer, which sees every attempt,
+//! keeps one budget for all of them; an entry without a placer has a small budget of its own.
 //!
-//! The limit: in any ten seconds, the attempts beyond the first of each call are at most the burst
-//! plus the configured percentage of calls. The calls counted are those of the same ten seconds,
-//! those of the window half a window earlier, or those of the window before, whichever are most. A
-//! retry counts in every window that contains it, later ones included, so it is granted only if all
-//! of these windows have budget left, judged by the calls known so far. Entries report to a new
-//! placer what its predecessors granted.
+//! In any ten seconds, the attempts beyond the first of each call are at most the burst plus the
+//! configured percentage of calls. The calls counted are those of the same ten seconds, those of
+//! the window half a window earlier, or those of the window before, whichever are most. A retry
+//! counts in every window that contains it, later ones included, so it is granted only if all of
+//! these windows have budget left, judged by the calls known so far. Entries report to a new placer
+//! what its predecessors granted.
 
 use derive::domain;
 use model::moment::Moment;
--- a/crates/decide/src/shedding.rs
+++ b/crates/decide/src/shedding.rs
@@ -1,9 +1,9 @@
 //! Detects when a whole service sheds load: all its upstreams refuse many of their calls.
 //!
-//! Load: for some seconds all upstreams of a service refuse a large part of their calls, even if
-//! they get few. Harm prevented: the retry budget of ten seconds is spent in the first of them on
-//! attempts that are refused as well, and none is left for the calls that could have waited until
-//! the service accepts calls again. The odds computed here decide when the placer holds retries and
+//! For some seconds all upstreams of a service may refuse a large part of their calls, even if they
+//! get few. The retry budget of ten seconds would then be spent in the first of them on attempts
+//! that are refused as well, and none would be left for the calls that could have waited until the
+//! service accepts calls again. The odds computed here decide when the placer holds retries and
 //! first attempts, and when it releases them.
 //!
 //! Every attempt changes the odds that the service is shedding. A refusal counts at once. The
