--- a/crates/decide/src/placer/locality.rs
+++ b/crates/decide/src/placer/locality.rs
@@ -12,9 +12,10 @@
 
 /// Broken paths to upstreams that work for others.
 ///
-/// Load: one VM or one failure domain reaches an upstream badly, or not at all. Prevents a healthy
-/// upstream from being ejected for all. A broken path is tried again after the time for which an
-/// ejection would have lasted, because nothing else tells when it works again.
+/// One VM or one failure domain may reach an upstream badly, or not at all. Recording its path as
+/// broken keeps a healthy upstream from being ejected for all. A broken path is tried again after
+/// the time for which an ejection would have lasted, because nothing else tells when it works
+/// again.
 #[derive(Debug, Default)]
 pub(super) struct BrokenPaths {
     until: BTreeMap<(PathSource, u32), Moment>,
@@ -43,7 +44,7 @@
 /// The weight of one answer in a measured cost.
 const COST_WEIGHT: f64 = 1.0 / 64.0;
 
-/// How many times the cost of another domain the entry's own domain may cost before calls leave it.
+/// Calls leave the entry's own domain once it costs more than this many times as much as another.
 const LOCAL_COST_FACTOR: f64 = 1.5;
 
 /// The cost of calls between failure domains: the answer time divided by the route's median, so
