--- a/crates/intake/src/connection_limit.rs
+++ b/crates/intake/src/connection_limit.rs
@@ -38,7 +38,7 @@
 
 #[derive(Debug)]
 struct TrackedConnection {
-    /// Its key in `ConnectionTable::idle`. `None` while it serves a request or after it was asked to close.
+    /// Its key in `ConnectionTable::idle`. `None` while it serves a request, or once asked to close.
     idle_sequence: Option<u64>,
     close_signal: Arc<Notify>,
 }
@@ -121,7 +121,8 @@
     }
 }
 
-/// Permits one connection. The permit is returned when its last clone and last [`ActiveRequest`] are dropped.
+/// Permits one connection. It is returned when its last clone and its last [`ActiveRequest`] are
+/// dropped.
 #[derive(Clone, Debug)]
 pub struct ConnectionPermit {
     registered: Arc<RegisteredConnection>,
